--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -93,20 +93,20 @@
          settings_.tenants[tenant].quota_ratio * arrival_rate_;
 }
 
-void Admission::refill_tokens(double passed_seconds) {
+void Admission::refill_tokens(double elapsed_seconds) {
   for (std::size_t t = 0; t < tokens_.size(); ++t)
-    tokens_[t] =
-        std::min(tokens_[t] + quota_rate(t) * passed_seconds, quota_rate(t) * kBurstSeconds + kBurstRequests);
+    tokens_[t] = std::min(tokens_[t] + quota_rate(t) * elapsed_seconds,
+                          quota_rate(t) * kBurstSeconds + kBurstRequests);
 }
 
-void Admission::measure_arrival_rate(double passed_seconds) {
-  const double rate = arrivals_in_period_ / passed_seconds;
-  rate_age_seconds_ = std::min(rate_age_seconds_ + passed_seconds, kRateAveragingSeconds);
+void Admission::measure_arrival_rate(double elapsed_seconds) {
+  const double rate = arrivals_in_period_ / elapsed_seconds;
+  rate_age_seconds_ = std::min(rate_age_seconds_ + elapsed_seconds, kRateAveragingSeconds);
   const double max_rate =
-      parts_.congestion.is_congested() ? arrival_rate_ : kMaxRateGrowth * arrival_rate_ + 1 / passed_seconds;
-  const bool is_known = kPeriodsBeforeBound * passed_seconds < rate_age_seconds_;
+      parts_.congestion.is_congested() ? arrival_rate_ : kMaxRateGrowth * arrival_rate_ + 1 / elapsed_seconds;
+  const bool is_known = kPeriodsBeforeBound * elapsed_seconds < rate_age_seconds_;
   const double counted_rate = is_known ? std::min(rate, max_rate) : rate;
-  arrival_rate_ += passed_seconds / rate_age_seconds_ * (counted_rate - arrival_rate_);
+  arrival_rate_ += elapsed_seconds / rate_age_seconds_ * (counted_rate - arrival_rate_);
   arrivals_in_period_ = 0;
 }
 
--- a/src/decision/admission.hpp
+++ b/src/decision/admission.hpp
@@ -36,9 +36,9 @@
   // Takes a token of the tenant.
   AdmissionResult admit(const Request& request);
   // Tokens of all tenants, for the time since the last call.
-  void refill_tokens(double passed_seconds);
+  void refill_tokens(double elapsed_seconds);
   // The arrival rate, once a sampling period.
-  void measure_arrival_rate(double passed_seconds);
+  void measure_arrival_rate(double elapsed_seconds);
 
   [[nodiscard]] double arrival_rate() const { return arrival_rate_; }  // requests a second, at this router
 
--- a/src/decision/decision_engine.cpp
+++ b/src/decision/decision_engine.cpp
@@ -184,18 +184,18 @@
 
   void on(const TimerFired&) {
     if (clock_.now < ticked_at_ + kTickInterval) return;
-    const double passed_seconds = to_seconds(clock_.now - ticked_at_);
+    const double elapsed_seconds = to_seconds(clock_.now - ticked_at_);
     ticked_at_ = clock_.now;
     actions_.append(SetTimer{kTickInterval});
     endpoint_watch_.retry_if_due();
-    admission_.refill_tokens(passed_seconds);
-    load_.average_own_load(passed_seconds);
+    admission_.refill_tokens(elapsed_seconds);
+    load_.average_own_load(elapsed_seconds);
     finish_due_requests();
     dispatcher_.drop_overdue();
     for (const auto id : std::vector(engines_.busy().begin(), engines_.busy().end()))
       check_attempts_of(engines_.at(id));
     health_checker_.check_stale_engines();
-    slow_start_.draw_admissions(passed_seconds);
+    slow_start_.draw_admissions(elapsed_seconds);
     gossip_.send_if_due();
     if (clock_.now >= sampled_at_ + kSamplingPeriod) sample();
     retry_budget_.remove_expired();
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/dispatcher.cpp
@@ -70,15 +70,15 @@
   const auto c = request.arrival.class_index;
   const auto& cls = settings_.classes[c];
   const double objective = to_seconds(cls.latency_objective);
-  const double least = kQueueingTimeRatio * objective;
+  const double min_seconds = kQueueingTimeRatio * objective;
   if (request.arrival.estimated_work) {
     const double slack_ratio = cls.latency_objective_per_work - kRunningTimeRatio;
     const double expected = parts_.statistics.expected_answer_seconds(request);
-    return from_seconds(std::max(least, objective + slack_ratio * expected));
+    return from_seconds(std::max(min_seconds, objective + slack_ratio * expected));
   }
-  const double whole_objective = parts_.statistics.latency_objective_seconds(c);
+  const double full_objective = parts_.statistics.latency_objective_seconds(c);
   const double mean_answer = parts_.statistics.of(c).mean_answer_seconds;
-  return from_seconds(std::max(least, kQueueingTimeRatio * whole_objective - mean_answer));
+  return from_seconds(std::max(min_seconds, kQueueingTimeRatio * full_objective - mean_answer));
 }
 
 void Dispatcher::drop_overdue() {
--- a/src/decision/engine_selector.cpp
+++ b/src/decision/engine_selector.cpp
@@ -164,11 +164,12 @@
 double EngineSelector::score(const Request& request, const Engine& engine) {
   const auto& cls = parts_.requests.settings_of(request);
   const auto data_group = request.arrival.data_group;
-  const double own =
+  const double own_load =
       engine.usage->threads * std::min<double>(settings_.router_count, kMaxExtrapolatedRouters);
-  const double all = kOwnLoadRatio * own + (1 - kOwnLoadRatio) * parts_.load.threads_on(engine).value_or(own);
+  const double total_load =
+      kOwnLoadRatio * own_load + (1 - kOwnLoadRatio) * parts_.load.threads_on(engine).value_or(own_load);
   double score =
-      (all + cls.threads) / (parts_.engines.cores(engine) * parts_.slow_start.capacity_ratio(engine));
+      (total_load + cls.threads) / (parts_.engines.cores(engine) * parts_.slow_start.capacity_ratio(engine));
   if (engine.endpoint->zone != settings_.zone) score += kCrossZoneThreadsPerCore * settings_.cross_zone_cost;
   if (!some_class_waits_for_loads_ && is_preferred(data_group, engine)) score -= kCachedDataThreadsPerCore;
   if (cls.waits_for_data_group && is_preferred(data_group, engine)) score += kLoadAvoidanceThreadsPerCore;
--- a/src/decision/hedging.cpp
+++ b/src/decision/hedging.cpp
@@ -29,8 +29,8 @@
   const double answer_times =
       to_seconds(clock_.now - attempt.started) / parts_.statistics.expected_answer_seconds(request);
   if (!settings_.hedging_enabled || !request.is_open || answer_times < kHedgeAfterAnswerTimes) return;
-  const bool gave_no_progress = attempt.last_progress == attempt.started;
-  if (answer_times > kLostAfterAnswerTimes && gave_no_progress)
+  const bool has_no_progress = attempt.last_progress == attempt.started;
+  if (answer_times > kLostAfterAnswerTimes && has_no_progress)
     return parts_.retry_policy.give_up(request, index);
   const bool is_latest = index + 1U == request.attempts.size();
   if (!is_latest || request.attempts.size() >= settings_.max_attempts) return;
--- a/src/decision/load_estimator.cpp
+++ b/src/decision/load_estimator.cpp
@@ -133,12 +133,12 @@
 void LoadEstimator::record_latency_ratio(Engine& engine, double ratio) {
   const double bounded = std::clamp(ratio, kMinLatencyRatio, kMaxLatencyRatio);
   fleet_latency_ratio_ += kFleetAnswerWeight * (bounded - fleet_latency_ratio_);
-  auto& of_engine = engine.load.edit().latency_ratio;
-  of_engine += kEngineAnswerWeight * (bounded - of_engine);
+  auto& engine_ratio = engine.load.edit().latency_ratio;
+  engine_ratio += kEngineAnswerWeight * (bounded - engine_ratio);
 }
 
-void LoadEstimator::average_own_load(double passed_seconds) {
-  const double weight = std::min(1.0, passed_seconds / kOwnLoadAveragingSeconds);
+void LoadEstimator::average_own_load(double elapsed_seconds) {
+  const double weight = std::min(1.0, elapsed_seconds / kOwnLoadAveragingSeconds);
   own_threads_ += weight * (requests_.running_threads() - own_threads_);
   own_queries_ += weight * (engines_.queries_in_flight() - own_queries_);
 }
@@ -166,20 +166,20 @@
 }
 
 std::optional<double> LoadEstimator::threads_on(const Engine& engine) const {
-  const double own = engine.usage->threads;
-  if (const auto of_peers = peers_threads_on(engine)) return *of_peers + own;
+  const double own_threads = engine.usage->threads;
+  if (const auto peer_threads = peers_threads_on(engine)) return *peer_threads + own_threads;
   const auto level = fleet_level();
   const auto& load = *engine.load;
   const bool is_fresh = load.reported_at > Time::zero() && clock_.now <= load.reported_at + kReportLifetime;
   const double weight = std::exp(-to_seconds(clock_.now - load.reported_at) / kReportDecaySeconds);
-  if (!level) return is_fresh ? std::optional(weight * load.other_threads + own) : std::nullopt;
+  if (!level) return is_fresh ? std::optional(weight * load.other_threads + own_threads) : std::nullopt;
   const double level_ratio = slow_start_.is_warming_up(engine) ? kWarmingLevelRatio : 1;
   const double expected = level_ratio * *level * engines_.cores(engine) * slow_start_.capacity_ratio(engine);
   // Where the routers' own threads give the level, reports only tell engines apart.
   double difference = 0;
   if (is_fresh && gossip_level_) difference = load.other_threads - report_level_ * engines_.cores(engine);
-  if (is_fresh && !gossip_level_) difference = load.other_threads + own - expected;
-  return std::max(own, overshoot_ratio() * expected + report_reliability() * weight * difference);
+  if (is_fresh && !gossip_level_) difference = load.other_threads + own_threads - expected;
+  return std::max(own_threads, overshoot_ratio() * expected + report_reliability() * weight * difference);
 }
 
 double LoadEstimator::report_reliability() const {
--- a/src/decision/load_estimator.hpp
+++ b/src/decision/load_estimator.hpp
@@ -53,8 +53,8 @@
   // Answer time against the usual for such a query.
   void record_latency_ratio(Engine& engine, double ratio);
   void reset_latency_ratio(Engine& engine) { engine.load.edit().latency_ratio = 1; }
-  // What runs here enters its average. `passed_seconds`: since the last call.
-  void average_own_load(double passed_seconds);
+  // What runs here enters its average. `elapsed_seconds`: since the last call.
+  void average_own_load(double elapsed_seconds);
   void remove_gone_engines();
 
   // Threads a core over the fleet; none: nothing was heard of it for 5 s.
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -37,7 +37,7 @@
 // late.
 constexpr int kMaxMissedProgress = 2;
 
-const char* text_of(EjectionReason reason) {
+const char* log_text(EjectionReason reason) {
   switch (reason) {
     case EjectionReason::failing:
       return "ejected: fails its queries";
@@ -154,7 +154,7 @@
 void OutlierDetector::eject(Engine& engine, EjectionReason reason, InFlight in_flight) {
   auto& health = engine.health.edit();
   if (health.state == HealthState::ejected) return;
-  if (health.state == HealthState::healthy) log(engine, text_of(reason));
+  if (health.state == HealthState::healthy) log(engine, log_text(reason));
   health.state = HealthState::ejected;
   parts_.engines.mark_changed();
   health.ejection_time = health.ejection_time > Time::zero()
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -43,12 +43,12 @@
 
 void RetryPolicy::check_progress(Request& request, const AttemptProgress& progress) {
   const Time age = clock_.now - request.attempts[progress.attempt].started;
-  const bool is_judged = progress.kind == ProgressKind::progress && progress.attempt == 0 &&
-                         to_seconds(age) > to_seconds(kMinProgressAge);
+  const bool has_usable_progress = progress.kind == ProgressKind::progress && progress.attempt == 0 &&
+                                   to_seconds(age) > to_seconds(kMinProgressAge);
   const double predicted_seconds = to_seconds(age) / std::max(progress.amount, kMinProgress);
-  const bool is_too_slow = is_judged && predicted_seconds > kBadPlanRatio *
-                                                                std::max(1.0, request.relative_size) *
-                                                                statistics_.of(request).mean_answer_seconds;
+  const bool is_too_slow =
+      has_usable_progress && predicted_seconds > kBadPlanRatio * std::max(1.0, request.relative_size) *
+                                                     statistics_.of(request).mean_answer_seconds;
   const bool waits_for_load = progress.kind == ProgressKind::waiting && progress.amount > kMinLoadWaitAmount;
   if (is_too_slow || waits_for_load) give_up(request, progress.attempt);
 }
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -44,14 +44,14 @@
   state.connection_broken_at = Time::zero();
 }
 
-void SlowStart::draw_admissions(double passed_seconds) {
+void SlowStart::draw_admissions(double elapsed_seconds) {
   for (auto* engine : engines_.ready()) {
     if (settings_.slow_start_overload_ratio <= 0 || !is_warming_up(*engine)) continue;
     const double rate = kAdmittedRatio * settings_.slow_start_overload_ratio *
                         capacity_ratio(*engine, settings_.slow_start_overload_window) * kFullCapacityPerCore *
                         engines_.cores(*engine) / settings_.router_count;  // core-seconds a second
     const double work = std::max(statistics_.heaviest_work(), rate * to_seconds(kAdmissionLifetime));
-    if (random_.fraction() >= std::min(passed_seconds, kMaxDrawSeconds) * rate / work) continue;
+    if (random_.fraction() >= std::min(elapsed_seconds, kMaxDrawSeconds) * rate / work) continue;
     engine->slow_start.edit().admission_until = clock_.now + kAdmissionLifetime;
     engine->slow_start.edit().admitted_work = work;
     admitting_.push_back(engine);
--- a/src/decision/slow_start.hpp
+++ b/src/decision/slow_start.hpp
@@ -30,8 +30,8 @@
   // The engine gave a sign of life that it sent at `at`.
   void record_liveness(Engine& engine, Time at);
 
-  // Draws this router's admissions. `passed_seconds`: since the last draw.
-  void draw_admissions(double passed_seconds);
+  // Draws this router's admissions. `elapsed_seconds`: since the last draw.
+  void draw_admissions(double elapsed_seconds);
   void charge(Engine& engine, const Request& request) {
     engine.slow_start.edit().admitted_work -= charged_work(request);
   }
