--- a/src/decision/engine_table.cpp
+++ b/src/decision/engine_table.cpp
@@ -6,14 +6,13 @@
 
 namespace heronwell {
 namespace {
-// A pool for fewer queries of the widest class than this is small: one query more or less is then a large
-// part of a budget, so budgets cannot keep the classes apart.
+// A pool is small if it has threads for fewer queries than this of the class with the most threads per query.
+// One query more or less is then a large part of a budget, so budgets cannot keep the classes apart.
 constexpr double kSmallPoolQueries = 4;
 }  // namespace
 
 EngineTable::EngineTable(const Settings& settings) : settings_(settings) {
-  for (const auto& cls : settings.classes)
-    widest_query_threads_ = std::max(widest_query_threads_, cls.threads);
+  for (const auto& cls : settings.classes) max_query_threads_ = std::max(max_query_threads_, cls.threads);
 }
 
 void EngineTable::begin_snapshot() {
@@ -37,7 +36,7 @@
     cores_ += cores(engine);
     if (!engine.is_ejected()) pool_threads_ += kThreadsPerCore * cores(engine) / settings_.router_count;
   }
-  is_pool_small_ = pool_threads_ < kSmallPoolQueries * widest_query_threads_;
+  is_pool_small_ = pool_threads_ < kSmallPoolQueries * max_query_threads_;
 }
 
 void EngineTable::start_attempt(Engine& engine, RequestId request, AttemptIndex attempt, unsigned threads) {
--- a/src/decision/latency_controller.cpp
+++ b/src/decision/latency_controller.cpp
@@ -4,18 +4,18 @@
 
 namespace heronwell {
 namespace {
-// K of equation (1), in tenths of the pool for an error of one delay objective. Negative: a delay above its
-// objective gives a negative error, which must raise the budget.
+// K of equation (1), in tenths of the pool for an error of one delay objective. It is negative, because a
+// delay above its objective gives a negative error, which must raise the budget.
 constexpr double kGain = -0.80;
 constexpr double kGainUnitRatio = 0.10;
 
-// r of equation (1): how much of the last error is taken back.
+// r of equation (1): the weight with which the previous error is subtracted.
 constexpr double kPreviousErrorRatio = 0.30;
 
-// The delay objective as a part of the latency objective; the rest is for running.
+// The delay objective as a part of the latency objective; the rest is left for running.
 constexpr double kDelayObjectiveRatio = 0.30;
 
-// Largest error, in delay objectives, by which a delay counts as too long.
+// Bound on the error of a delay that is too long, in delay objectives.
 constexpr double kMaxError = 3.0;
 }  // namespace
 
@@ -47,33 +47,33 @@
 
 void LatencyController::sample() {
   const double pool = engines_.pool_threads();
-  double wanted = 0;
-  for (const auto& control : classes_) wanted += control.control_input;
-  const bool is_saturated = wanted > pool;
+  double demand = 0;
+  for (const auto& control : classes_) demand += control.control_input;
+  const bool is_saturated = demand > pool;
   for (const auto c : ranking_) {
     auto& control = classes_[c];
     const double objective = kDelayObjectiveRatio * to_seconds(settings_.classes[c].latency_objective);
     const double error = std::max(-kMaxError, (objective - mean_delay_seconds(c)) / objective);
     const double previous_input = is_saturated ? control.budget : control.control_input;
-    const double one_query = settings_.classes[c].threads;
+    const double query_threads = settings_.classes[c].threads;
     control.control_input =
         std::clamp(previous_input +
                        kGain * kGainUnitRatio * pool * (error - kPreviousErrorRatio * control.previous_error),
-                   one_query, std::max(one_query, pool));
+                   query_threads, std::max(query_threads, pool));
     control.previous_error = error;
     control.delay_seconds = 0;
     control.requests = 0;
   }
 }
 
-void LatencyController::fill_budgets() {
+void LatencyController::allocate_budgets() {
   const double pool = engines_.pool_threads();
   double left = pool;
   for (const auto c : ranking_) {
     auto& control = classes_[c];
-    const double one_query = settings_.classes[c].threads;
-    const double wanted = std::clamp(control.control_input, one_query, std::max(one_query, pool));
-    control.budget = std::max(one_query, std::min(wanted, left));
+    const double query_threads = settings_.classes[c].threads;
+    const double demand = std::clamp(control.control_input, query_threads, std::max(query_threads, pool));
+    control.budget = std::max(query_threads, std::min(demand, left));
     left = std::max(0.0, left - control.budget);
   }
 }
--- a/src/decision/outlier_detector.cpp
+++ b/src/decision/outlier_detector.cpp
@@ -9,35 +9,35 @@
 namespace {
 using namespace std::chrono_literals;
 
-// Weight of one result in an engine's error ratio, and the ratio at which it is ejected: two failures in a
-// row.
+// Weight of one result in an engine's error ratio, and the ratio at which the engine is ejected, which two
+// failures in a row reach.
 constexpr double kResultWeight = 0.25;
 constexpr double kMaxErrorRatio = 0.4;
 
-// A reset that no health check can follow up weighs as two failures.
+// A connection reset that cannot be followed by a health check counts as two failures.
 constexpr double kUncheckedResetWeight = 2 * kResultWeight;
 
-// How long an ejected engine stays out the first time, and the longest time. Long enough for a process to
-// restart, short enough that one wrong verdict costs little of its capacity. Doubles up to the longest.
+// Duration of the first ejection, and the limit up to which it doubles. It is long enough for a process to
+// restart, and short enough that one wrong decision costs little of the engine's capacity.
 constexpr Time kBaseEjectionTime = 1s;
 constexpr Time kMaxEjectionTime = 4s;
 
-// The ejection time is multiplied by a random factor from this to this plus one, so that routers do not come
-// back all at once.
+// The ejection time is multiplied by a random factor from this value to this value plus one, so that routers
+// do not all return to the engine at the same time.
 constexpr double kMinEjectionSpread = 0.5;
 
-// Answers overdue, in usual answer times over all attempts of an engine, before silence is believed; one
-// attempt counts for so many at most, as a single long query is no silence; and the engine has given no word
-// for this long.
-constexpr double kSilentAnswers = 6;
+// An engine counts as silent if its attempts are overdue by more than kMaxOverdueAnswers usual answer times
+// in sum, and if it has sent no message for kMinSilence. One attempt counts for at most
+// kMaxOverduePerAttempt, as a single long query does not prove silence.
+constexpr double kMaxOverdueAnswers = 6;
 constexpr double kMaxOverduePerAttempt = 3;
 constexpr Time kMinSilence = 800ms;
 
-// Progress intervals without a message after which an attempt, or its answer, is lost: one message may be
-// late.
+// Number of progress intervals without a message after which an attempt, or its answer, counts as lost: one
+// message may be late.
 constexpr int kMaxMissedProgress = 2;
 
-const char* text_of(EjectionReason reason) {
+const char* log_text(EjectionReason reason) {
   switch (reason) {
     case EjectionReason::failing:
       return "ejected: fails its queries";
@@ -79,14 +79,14 @@
     case AttemptResult::timed_out:
     case AttemptResult::cancelled:
     case AttemptResult::never_started:
-      return;  // these say nothing about the engine; silence is judged by itself
+      return;  // these results say nothing about the engine; silence is detected separately
   }
 }
 
 void OutlierDetector::record_served(Engine& engine, const Request& request) {
   record_progress(engine);
-  parts_.slow_start.record_sign_of_life(engine, clock_.now);
-  blame_engines_that_failed(request, engine);
+  parts_.slow_start.record_liveness(engine, clock_.now);
+  record_failures_of_other_engines(request, engine);
   auto& health = engine.health.edit();
   health.error_ratio -= kResultWeight * health.error_ratio;
   if (health.state != HealthState::probation) return;
@@ -96,9 +96,9 @@
   log(engine, "recovered");
 }
 
-// An error is the engine's fault or the query's own: the next attempt tells. Served elsewhere, each engine
-// that failed it is blamed; failed by two engines, neither is. What cannot be tried again is blamed on its
-// engine at once.
+// An error is caused by the engine or by the query itself, and the next attempt shows which. If the query is
+// served by another engine, the error counts against each engine that failed it. If two engines fail it, it
+// counts against neither. If the query cannot be tried again, the error counts against its engine at once.
 void OutlierDetector::record_error(Engine& engine, const Request& request) {
   const auto failed_elsewhere = [&](const Attempt& attempt) {
     return !attempt.in_flight && attempt.result == AttemptResult::error && attempt.engine != engine.id();
@@ -108,7 +108,7 @@
   record_failure(engine, kResultWeight);
 }
 
-void OutlierDetector::blame_engines_that_failed(const Request& request, const Engine& served_by) {
+void OutlierDetector::record_failures_of_other_engines(const Request& request, const Engine& served_by) {
   for (const auto& attempt : request.attempts) {
     if (attempt.in_flight || attempt.result != AttemptResult::error) continue;
     auto* engine = parts_.engines.find(attempt.engine);
@@ -116,19 +116,22 @@
   }
 }
 
-// Failure: an engine rejects queries although its reports say that it has capacity left. Each new report
-// would make it look empty again, so it draws work and rejects it. Guard: it counts as loaded until its next
-// report, and as failing if its reports keep saying otherwise. What it runs goes on.
+// If an engine rejects queries although its reports show free capacity, each new report makes it look empty
+// again, so it attracts queries and rejects them. Therefore the engine counts as loaded until its next
+// report, and each rejection at a reported free capacity counts as a failure. The attempts in flight continue
+// if the engine is ejected for this.
 void OutlierDetector::record_rejection(Engine& engine) {
   if (!parts_.load.fleet_level()) return eject(engine, EjectionReason::at_capacity);
   const auto threads = parts_.load.threads_on(engine);
-  const bool looked_free = threads && *threads < kCongestedThreadsPerCore * parts_.engines.cores(engine);
+  const bool reported_free_capacity =
+      threads && *threads < kCongestedThreadsPerCore * parts_.engines.cores(engine);
   record_progress(engine);
   parts_.load.record_overload(engine);
-  if (looked_free) record_failure(engine, kResultWeight, InFlight::keep);
+  if (reported_free_capacity) record_failure(engine, kResultWeight, InFlight::keep);
 }
 
-// The process may have ended, and start anew before any list tells: it is taken to be warming up.
+// The process may have ended and may restart before an endpoint list shows it, so the engine goes through
+// slow start again.
 void OutlierDetector::record_connection_failure(Engine& engine, AttemptResult result) {
   if (result == AttemptResult::not_connected) {
     parts_.slow_start.record_connection_failure(engine, SlowStart::ConnectionFailure::not_connected);
@@ -153,7 +156,7 @@
 void OutlierDetector::eject(Engine& engine, EjectionReason reason, InFlight in_flight) {
   auto& health = engine.health.edit();
   if (health.state == HealthState::ejected) return;
-  if (health.state == HealthState::healthy) log(engine, text_of(reason));
+  if (health.state == HealthState::healthy) log(engine, log_text(reason));
   health.state = HealthState::ejected;
   parts_.engines.mark_changed();
   health.ejection_time = health.ejection_time > Time::zero()
@@ -167,17 +170,18 @@
     parts_.retry_policy.give_up(parts_.requests.at(request), attempt);
 }
 
-double OutlierDetector::check_attempt(Engine& engine, Request& request, AttemptIndex index, Time quiet) {
+double OutlierDetector::check_attempt(Engine& engine, Request& request, AttemptIndex index, Time silence) {
   const auto& attempt = request.attempts[index];
   if (settings_.progress_interval == Time::zero()) {
-    const Time age = std::min(quiet, clock_.now - attempt.started);
+    const Time age = std::min(silence, clock_.now - attempt.started);
     return std::min(to_seconds(age) / parts_.statistics.of(request).mean_answer_seconds,
                     kMaxOverduePerAttempt);
   }
-  // Where progress is promised, an attempt without it is lost; its engine too, if it gave no other word.
+  // Where engines send progress messages, an attempt without them is lost. If the engine sent no other
+  // message either, the engine is silent.
   const Time limit = kMaxMissedProgress * settings_.progress_interval;
   if (clock_.now - attempt.last_progress <= limit || !attempt.is_awaited()) return 0;
-  if (quiet > limit) {
+  if (silence > limit) {
     eject(engine, EjectionReason::silent);
   } else {
     parts_.retry_policy.give_up(request, index);
@@ -185,8 +189,8 @@
   return 0;
 }
 
-void OutlierDetector::check_silence(Engine& engine, Time quiet, double overdue_answers) {
-  if (quiet > kMinSilence && overdue_answers > kSilentAnswers) eject(engine, EjectionReason::silent);
+void OutlierDetector::check_silence(Engine& engine, Time silence, double overdue_answers) {
+  if (silence > kMinSilence && overdue_answers > kMaxOverdueAnswers) eject(engine, EjectionReason::silent);
 }
 
 bool OutlierDetector::admits(const Request& request, Engine& engine) {
--- a/src/decision/slow_start.cpp
+++ b/src/decision/slow_start.cpp
@@ -6,22 +6,24 @@
 namespace {
 using namespace std::chrono_literals;
 
-// All routers together send at most this part of the work that overloads a warming engine. The rest is a
-// margin for admissions that happen to fall together.
+// Part of the overload limit of a warming engine that all routers together may send. The rest is a margin for
+// admissions that coincide by chance.
 constexpr double kAdmittedRatio = 0.8;
 
-// How long an admission may be used. About as long as a router waits for its next request of a heavy class.
-constexpr Time kAdmissionTime = 1s;
+// Time in which an admission may be used: about as long as a router waits for its next request of a heavy
+// class.
+constexpr Time kAdmissionLifetime = 1s;
 
-// Longest time that one draw stands for, in seconds. A router that had not run gets no admissions for that
-// time: all routers of a machine would come back with theirs at once.
+// Bound, in seconds, on the time that one draw covers. A router gets no admissions for a pause of its
+// process; otherwise all paused routers of a machine would resume with their admissions at the same time.
 constexpr double kMaxDrawSeconds = 0.1;
 
-// Core-seconds a second that a core does at most: what "capacity" in the overload ratio stands for.
+// Core-seconds per second that one core provides at most; the overload ratio is relative to this capacity.
 constexpr double kFullCapacityPerCore = 0.85;
 
-// Heard within this time of a broken connection, it was the network: no process ends and starts in less.
-constexpr Time kShortestRestart = 500ms;
+// Shortest time in which a process can end and start again. If an engine responds within this time after its
+// connection broke, the cause was the network.
+constexpr Time kMinRestartTime = 500ms;
 }  // namespace
 
 void SlowStart::restart(Engine& engine, Time started_at) {
@@ -37,22 +39,22 @@
   state.connection_broken_at = failure == ConnectionFailure::reset ? clock_.now : Time::zero();
 }
 
-void SlowStart::record_sign_of_life(Engine& engine, Time at) {
+void SlowStart::record_liveness(Engine& engine, Time at) {
   auto& state = engine.slow_start.edit();
   if (state.connection_broken_at == Time::zero() || at <= state.connection_broken_at) return;
-  if (at <= state.connection_broken_at + kShortestRestart) state.started_at = state.started_before_break;
+  if (at <= state.connection_broken_at + kMinRestartTime) state.started_at = state.started_before_break;
   state.connection_broken_at = Time::zero();
 }
 
-void SlowStart::draw_admissions(double passed_seconds) {
+void SlowStart::draw_admissions(double elapsed_seconds) {
   for (auto* engine : engines_.ready()) {
     if (settings_.slow_start_overload_ratio <= 0 || !is_warming_up(*engine)) continue;
     const double rate = kAdmittedRatio * settings_.slow_start_overload_ratio *
                         capacity_ratio(*engine, settings_.slow_start_overload_window) * kFullCapacityPerCore *
-                        engines_.cores(*engine) / settings_.router_count;  // core-seconds a second
-    const double work = std::max(statistics_.heaviest_work(), rate * to_seconds(kAdmissionTime));
-    if (random_.fraction() >= std::min(passed_seconds, kMaxDrawSeconds) * rate / work) continue;
-    engine->slow_start.edit().admission_until = clock_.now + kAdmissionTime;
+                        engines_.cores(*engine) / settings_.router_count;  // core-seconds per second
+    const double work = std::max(statistics_.heaviest_work(), rate * to_seconds(kAdmissionLifetime));
+    if (random_.fraction() >= std::min(elapsed_seconds, kMaxDrawSeconds) * rate / work) continue;
+    engine->slow_start.edit().admission_until = clock_.now + kAdmissionLifetime;
     engine->slow_start.edit().admitted_work = work;
     admitting_.push_back(engine);
   }
@@ -64,7 +66,7 @@
   return admitting_;
 }
 
-void SlowStart::forget_gone_engines() { std::erase_if(admitting_, &Engine::is_gone); }
+void SlowStart::remove_gone_engines() { std::erase_if(admitting_, &Engine::is_gone); }
 
 double SlowStart::capacity_ratio(const Engine& engine, Time window) const {
   if (!is_warming_up(engine)) return 1;
@@ -80,7 +82,8 @@
          charged_work(request) <= engine.slow_start->admitted_work;
 }
 
-// A query smaller than usual is charged its class's usual work: caches are filled by queries, however small.
+// A query that is smaller than usual is charged the usual work of its class, because a query fills caches
+// independent of its size.
 double SlowStart::charged_work(const Request& request) const {
   return statistics_.work(request) * std::max(1.0, 1 / request.relative_size);
 }
