--- a/src/path/client_connection.cpp
+++ b/src/path/client_connection.cpp
@@ -157,12 +157,12 @@
   const auto target = parser_.target().substr(0, parser_.target().find('?'));
   const bool get = parser_.method() == "GET" || client_request->head_only;
   if (target == "/metrics" && get)
-    return whole(client_request, 200, "text/plain; version=0.0.4", shard_.metrics().text());
+    return send_response(client_request, 200, "text/plain; version=0.0.4", shard_.metrics().text());
   if (target == "/healthz" && get)
-    return whole(client_request, 200, "text/plain", shard_.stopping() ? "stopping\n" : "ok\n");
+    return send_response(client_request, 200, "text/plain", shard_.stopping() ? "stopping\n" : "ok\n");
   router::Problem problem;
   if (target == "/groups" && get && shard_.selectors())
-    return whole(client_request, 200, "application/json", shard_.metrics().groups());
+    return send_response(client_request, 200, "application/json", shard_.metrics().groups());
   if (target == "/graphql" || target == "/v1/query") {
     trace_begin(shard_, *client_request, parser_);
     if (shard_.selectors())
@@ -192,11 +192,12 @@
 void ClientConnection::reject(const ClientRequestPtr& client_request, const router::Problem& problem) {
   shard_.metrics().rejected->Increment();
   shard_.record_finished(client_request, {'B', '-'}, problem.status);
-  whole(client_request, problem.status, "application/problem+json", router::problem_body(problem));
+  send_response(client_request, problem.status, "application/problem+json", router::problem_body(problem));
 }
 
-void ClientConnection::whole(const ClientRequestPtr& client_request, int status, std::string_view type,
-                             std::string body, const std::vector<http::Field>& more) {
+void ClientConnection::send_response(const ClientRequestPtr& client_request, int status,
+                                     std::string_view type, std::string body,
+                                     const std::vector<http::Field>& more) {
   if (client_request->finished()) return;
   std::string head;
   if (client_request->trace_response.empty()) {
@@ -213,10 +214,10 @@
   }
   append_response(client_request, std::move(head));
   if (!body.empty()) append_response(client_request, std::move(body));
-  end(client_request);
+  end_response(client_request);
 }
 
-void ClientConnection::begin(const ClientRequestPtr& client_request) {
+void ClientConnection::begin_response(const ClientRequestPtr& client_request) {
   std::string head;
   std::vector<http::Field> more;
   if (!client_request->trace_response.empty())
@@ -226,7 +227,7 @@
   append_response(client_request, std::move(head));
 }
 
-void ClientConnection::piece(const ClientRequestPtr& client_request, std::string body) {
+void ClientConnection::send_chunk(const ClientRequestPtr& client_request, std::string body) {
   if (body.empty() || client_request->head_only) return;
   std::string prefix;
   http::put_chunk_prefix(prefix, body.size());
@@ -235,7 +236,7 @@
   append_response(client_request, std::move(body));
 }
 
-void ClientConnection::end(const ClientRequestPtr& client_request) {
+void ClientConnection::end_response(const ClientRequestPtr& client_request) {
   if (client_request->streaming() && !client_request->head_only)
     append_response(client_request, std::string(http::kLastChunk));
   apply(client_request->response_state, ResponseEvent::finish);
@@ -331,7 +332,7 @@
   if (unwritten_bytes_ < shard_.config().listen.high_water / 2) notify_drained();
 }
 
-void ClientConnection::break_off() {
+void ClientConnection::abort_response() {
   drop_pending_requests();
   close(ClientConnectionEvent::connection_lost, true);
 }
--- a/src/path/client_connection.hpp
+++ b/src/path/client_connection.hpp
@@ -32,15 +32,16 @@
   ~ClientConnection() override;
 
   void start() override;
-  // Responses: each request gets exactly one whole(), or one begin(), any number of piece() and one end().
-  void whole(const ClientRequestPtr& client_request, int status, std::string_view type, std::string body,
-             const std::vector<http::Field>& more = {});
-  void begin(const ClientRequestPtr& client_request);                    // status 200, chunked JSON
-  void piece(const ClientRequestPtr& client_request, std::string body);  // an empty one is skipped
-  void end(const ClientRequestPtr& client_request);
+  // Each request gets exactly one send_response(), or one begin_response(), any number of send_chunk() and
+  // one end_response().
+  void send_response(const ClientRequestPtr& client_request, int status, std::string_view type,
+                     std::string body, const std::vector<http::Field>& more = {});
+  void begin_response(const ClientRequestPtr& client_request);                // status 200, chunked JSON
+  void send_chunk(const ClientRequestPtr& client_request, std::string body);  // an empty one is skipped
+  void end_response(const ClientRequestPtr& client_request);
   // A response that has begun must not look complete: the connection is reset, and its other requests are
   // cancelled.
-  void break_off();
+  void abort_response();
   void abort() override;
 
   // Bytes that are still to be written before, and of, the response of this request.
--- a/src/path/engine_connection.cpp
+++ b/src/path/engine_connection.cpp
@@ -278,7 +278,7 @@
     return;
   attempt_->request->streaming_since = shard_.now();
   const auto& client = attempt_->request->client;
-  client->begin(attempt_->request);
+  client->begin_response(attempt_->request);
   forward_rows();
   if (!reading_paused_ || client->backlog(attempt_->request) < shard_.config().listen.high_water)
     resume_reading();
@@ -288,7 +288,7 @@
 void EngineConnection::forward_rows() {
   if (!attempt_ || attempt_->state != AttemptState::streaming) return;
   const auto& client = attempt_->request->client;
-  client->piece(attempt_->request, std::exchange(attempt_->response.json, {}));
+  client->send_chunk(attempt_->request, std::exchange(attempt_->response.json, {}));
   if (client->closed() || client->backlog(attempt_->request) < shard_.config().listen.high_water) return;
   pause_reading();
   client->on_drained([weak = weak_from_this()] {
--- a/src/path/graphql.cpp
+++ b/src/path/graphql.cpp
@@ -414,7 +414,7 @@
   trace_end(shard_, *client, {errors ? 'E' : executed ? 'S' : 'B', '-'}, status);
   client->response_handler = nullptr;
   shard_.metrics().graphql_open->Decrement();
-  client->client->whole(client, status, graphql::media_type(ask_.media), std::move(body), more);
+  client->client->send_response(client, status, graphql::media_type(ask_.media), std::move(body), more);
 }
 
 void GraphqlRequest::on_client_disconnected() {
@@ -448,13 +448,13 @@
   auto read = graphql::read_http(http, graphql.config().batch, graphql.config().page);
   auto& client = *client_request->client;
   if (std::holds_alternative<graphql::HttpPage>(read))
-    return client.whole(client_request, 200, "text/html; charset=utf-8", std::string(kQueryPage));
+    return client.send_response(client_request, 200, "text/html; charset=utf-8", std::string(kQueryPage));
   const auto wrong = [&](const graphql::HttpWrong& why) {
     shard.metrics().graphql_rejected->Increment();
     std::vector<http::Field> more;
     if (!why.allow.empty()) more.push_back({"allow", why.allow});
-    client.whole(client_request, why.status, graphql::media_type(why.media),
-                 error_body(why.message, "BAD_REQUEST"), more);
+    client.send_response(client_request, why.status, graphql::media_type(why.media),
+                         error_body(why.message, "BAD_REQUEST"), more);
   };
   if (const auto* why = std::get_if<graphql::HttpWrong>(&read)) return wrong(*why);
   auto& ask = std::get<graphql::HttpAsk>(read);
--- a/src/path/response_delivery.cpp
+++ b/src/path/response_delivery.cpp
@@ -49,7 +49,8 @@
   (error ? counts.error : counts.served)->Increment();
   record_finished(request, {error ? 'E' : 'S', 'A'}, error ? kStatementError : kOk);
   if (!request->client) return request->response_handler->on_served(request, std::move(response));
-  if (!error) return request->client->whole(request, kOk, "application/json", std::move(response.json));
+  if (!error)
+    return request->client->send_response(request, kOk, "application/json", std::move(response.json));
   router::Problem problem;
   problem.status = kStatementError;
   problem.outcome = router::ProblemOutcome::statement_error;
@@ -65,9 +66,9 @@
   auto& counts = shard_.metrics().classes[request->class_index];
   (engine_error ? counts.broken : counts.served)->Increment();
   record_finished(request, {engine_error ? 'E' : 'S', 'D'}, kOk);
-  if (!engine_error) return request->client->end(request);
+  if (!engine_error) return request->client->end_response(request);
   apply(request->response_state, ResponseEvent::finish);
-  request->client->break_off();
+  request->client->abort_response();
 }
 
 void ResponseDelivery::abort_stream(const router::AbortStream& command) {
@@ -78,7 +79,7 @@
   shard_.forget_request(request);
   if (request->streaming()) {
     apply(request->response_state, ResponseEvent::finish);
-    return request->client->break_off();
+    return request->client->abort_response();
   }
   router::Problem problem;  // not a byte went out: the client can still be answered
   problem.status = kBadGateway;
@@ -119,8 +120,8 @@
   std::vector<http::Field> fields;
   if (problem.outcome == router::ProblemOutcome::rejected && problem.retry_after > Time::zero())
     fields.push_back({"retry-after", retry_after});
-  request->client->whole(request, problem.status, "application/problem+json", router::problem_body(problem),
-                         fields);
+  request->client->send_response(request, problem.status, "application/problem+json",
+                                 router::problem_body(problem), fields);
 }
 
 bool ResponseDelivery::retry_is_safe(const ClientRequest& request) const {
