--- a/src/explore/model_hash.cpp
+++ b/src/explore/model_hash.cpp
@@ -148,7 +148,7 @@
   put(out, deferred_.size());
   for (const auto& shard : shards_) {
     const auto counts = shard->counts();
-    put(out, counts.last_turn);
+    put(out, counts.last_run_at);
     put(out, counts.suspect_from);
     put(out, counts.suspect_until);
     put(out, counts.requests << 32 | counts.attempts << 16 | counts.idle_connections << 8 |
--- a/src/path/cancel_request.hpp
+++ b/src/path/cancel_request.hpp
@@ -1,7 +1,7 @@
-// The cancel request of PostgreSQL's protocol, which goes out on a connection of its own: it names the
-// connection whose statement is to be cancelled. The engine closes it once it has read the request, and says
-// nothing of the outcome. A request that is lost is not repeated: the cancelled connection has a timeout
-// (`engines.cancel_wait`).
+// CancelRequest sends the CancelRequest message of the PostgreSQL protocol. The protocol requires a separate
+// connection for it; the message identifies the connection whose statement the engine must cancel. The engine
+// closes the separate connection after it has read the message and does not report the outcome. A lost
+// message is not repeated, because the cancelled connection has a timeout (`engines.cancel_wait`).
 #pragma once
 
 #include <memory>
@@ -13,9 +13,9 @@
 
 class CancelRequest final : public std::enable_shared_from_this<CancelRequest>, public StreamObserver {
  public:
-  // `process` and `secret`: by which the engine knows the connection.
+  // `process` and `secret` identify the connection to cancel (BackendKeyData of its start-up).
   CancelRequest(Shard& shard, std::uint64_t number, std::uint32_t process, std::uint32_t secret);
-  // Sends it to the engine at `address`; once.
+  // Connects to the engine at `address` and sends the message. Must be called once.
   void dial(const config::Address& address);
   void close();
 
--- a/src/path/client_connection.cpp
+++ b/src/path/client_connection.cpp
@@ -10,14 +10,15 @@
 namespace heronwell::path {
 namespace {
 
-// How long a connection whose last response is written stays open for the client to read it and close. Longer
-// than a round trip to any client; a client that keeps it open costs a descriptor for this long.
+// After its last response is written, a connection stays open for this long, so that the client can read the
+// response and close. It is longer than a round trip to any client. A client that does not close occupies a
+// descriptor for this long.
 constexpr Time kLingerDuration = std::chrono::seconds(1);
-// Buffers that one write hands to the system: a streamed response is made of small chunks, and fewer calls
-// write them.
+// Maximum number of buffers in one write call. A streamed response consists of small chunks; writing several
+// of them at once needs fewer system calls.
 constexpr std::size_t kMaxBuffersPerWrite = 16;
-// A body below this size is copied behind its head into one buffer; a larger one is cheaper to write from its
-// own.
+// A body smaller than this many bytes is appended to the buffer of its head. A larger body is written from
+// its own buffer, which is cheaper than a copy.
 constexpr std::size_t kMaxBodyCopiedToHead = 4096;
 
 }  // namespace
@@ -44,7 +45,7 @@
 
 void ClientConnection::on_data(std::string_view bytes) {
   if (state_ != ClientConnectionState::reading)
-    return;  // no further request is read, but whether the client disconnects is still of interest
+    return;  // input is discarded; reading continues only to detect that the client disconnects
   if (read_buffer_.empty()) {
     const auto used = parse(bytes);
     if (state_ == ClientConnectionState::reading) read_buffer_.assign(bytes.substr(used));
@@ -58,12 +59,12 @@
     reading_paused_ = true;
     stream_->set_reading(false);
   } else if (parser_.between_messages() && requests_.empty()) {
-    std::string().swap(request_body_);  // thousands of idle connections stay small
+    std::string().swap(request_body_);  // releases the memory: there may be thousands of idle connections
     if (read_buffer_.empty()) std::string().swap(read_buffer_);
   }
 }
 
-// Reads again after the pipeline was full.
+// Resumes reading once the pipeline is no longer full.
 void ClientConnection::resume_reading() {
   if (!reading_paused_ || state_ == ClientConnectionState::closed) return;
   if (state_ == ClientConnectionState::reading && pipeline_full()) return;
@@ -87,20 +88,20 @@
   write_buffered();
 }
 
-// The client has closed its side, or the whole connection. Requests without a response are dropped; responses
-// that are complete are still written, if anything can be.
+// Handles a client that has closed its sending side or the whole connection. Requests without a response are
+// dropped. Complete responses are still written unless the connection is `unwritable`.
 void ClientConnection::on_client_gone(bool unwritable) {
   if (closed()) return;
   const bool pending = std::ranges::any_of(requests_, [](const auto& one) { return !one->finished(); });
   drop_pending_requests();
   if (pending || unwritable || write_buffers_.empty()) return close(ClientConnectionEvent::connection_lost);
   apply(state_, ClientConnectionEvent::last_response);
-  stream_->set_reading(false);  // its end has been read
+  stream_->set_reading(false);  // the end of the input has been read
 }
 
-// No response can reach the client any more: requests that have none are cancelled.
+// Cancels the requests that have no complete response, because no response can reach the client any more.
 void ClientConnection::drop_pending_requests() {
-  const auto requests = requests_;  // a copy: a handler may end its request
+  const auto requests = requests_;  // a copy, because a handler may end its request
   for (const auto& client_request : requests) {
     if (client_request->finished()) continue;
     if (client_request->ticket != 0) shard_.disconnect(client_request);
@@ -119,7 +120,7 @@
     if (read.event == Event::need_more) break;
     if (read.event == Event::head) {
       request_body_.clear();
-      // Only where no earlier response is pending: interim responses keep the order of requests too.
+      // Sent only if no earlier response is pending: interim responses must keep the order of requests too.
       if (parser_.expects_continue() && requests_.empty() && parser_.content_length().value_or(1) > 0) {
         write_buffers_.push_back("HTTP/1.1 100 Continue\r\n\r\n");
         unwritten_bytes_ += write_buffers_.back().size();
@@ -254,7 +255,7 @@
   write_buffered();
 }
 
-// The first response in order is complete: what the next ones have buffered is written.
+// Removes complete responses from the front of the queue and writes what the next response has buffered.
 void ClientConnection::release_next_responses() {
   while (!requests_.empty() && requests_.front()->finished()) {
     const bool last = !requests_.front()->keep_alive;
@@ -307,9 +308,9 @@
   for (const auto& then : std::exchange(drained_callbacks_, {})) then();
 }
 
-// Failure: closing at once resets the connection if anything of the client lies unread, and the reset
-// overtakes the last response. Guard: the writing side is shut down first, and the connection closed when the
-// client has, or after a while.
+// Shuts down the writing side first. The connection is closed when the client closes it, or after
+// kLingerDuration. Closing it at once would reset the connection if input of the client is still unread, and
+// the reset could discard the last response before the client reads it.
 void ClientConnection::begin_linger() {
   apply(state_, ClientConnectionEvent::flushed);
   last_active_at_ = shard_.now();
@@ -339,7 +340,7 @@
 
 void ClientConnection::abort() {
   for (const auto& client_request : requests_)
-    client_request->response_handler = nullptr;  // which holds its request in turn
+    client_request->response_handler = nullptr;  // breaks the cycle: the handler owns its request
   close(ClientConnectionEvent::closed_locally, true);
 }
 
--- a/src/path/client_connection.hpp
+++ b/src/path/client_connection.hpp
@@ -1,16 +1,19 @@
-// One client connection by HTTP/1.1: reads requests, keeps their order (pipelining), writes responses.
+// ClientConnection serves one HTTP/1.1 client: it reads requests, which the client may pipeline, and writes
+// the responses in the order of the requests.
 //
-// It reads on while responses are pending, so that a client that disconnects is noticed at once; only while
-// `listen.pipeline` requests are open does it stop reading.
+// It continues to read while responses are pending, so that a disconnect is detected at once. It stops
+// reading only while `listen.pipeline` requests are open.
 //
-// Failures guarded against:
-// - A client that reads nothing: responses pile up here. Above `listen.high_water` bytes the engine's
-//   connection is paused, and after `listen.stall_time` without progress the client is closed.
-// - A client that sends half a request, or none: it is closed after `listen.header_time` or
-//   `listen.idle_time`.
-// - A streamed response that breaks off: it must not look complete, so the connection is reset.
+// It guards against these failures:
+// - A client does not read, and responses accumulate in memory. Above `listen.high_water` bytes, reading from
+//   the engine is paused (backpressure). After `listen.stall_time` without progress, the connection is
+//   closed.
+// - A client sends an incomplete request or none. The connection is closed after `listen.header_time` or
+//   `listen.idle_time`, respectively.
+// - A streamed response fails midway. It must not look complete, so the connection is reset.
 //
-// Its states are ClientConnectionState (state_tables.hpp).
+// All calls are made on the thread of the shard. The states are listed in ClientConnectionState
+// (state_tables.hpp).
 #pragma once
 
 #include <deque>
@@ -39,14 +42,14 @@
   void begin_response(const ClientRequestPtr& client_request);                // status 200, chunked JSON
   void send_chunk(const ClientRequestPtr& client_request, std::string body);  // an empty one is skipped
   void end_response(const ClientRequestPtr& client_request);
-  // A response that has begun must not look complete: the connection is reset, and its other requests are
-  // cancelled.
+  // Resets the connection, so that a response that has begun does not look complete to the client. The other
+  // requests of the connection are cancelled.
   void abort_response();
   void abort() override;
 
-  // Bytes that are still to be written before, and of, the response of this request.
+  // Returns the number of bytes that are buffered for this response or must be written before it.
   [[nodiscard]] std::size_t backlog(const ClientRequestPtr& client_request) const;
-  // Calls `callback` once, when little or nothing waits to be written any more.
+  // Calls `callback` once, when fewer than half of `listen.high_water` bytes are left to write.
   void on_drained(std::function<void()> callback) { drained_callbacks_.push_back(std::move(callback)); }
 
   void close_expired(Time now) override;
@@ -78,12 +81,13 @@
   std::uint64_t number_;
   StreamPtr stream_;
   http::Parser parser_;
-  std::string read_buffer_;                // not yet parsed
-  std::string request_body_;               // of the request that is being read
-  std::string client_address_;             // of the client; empty without groups
-  std::deque<ClientRequestPtr> requests_;  // open ones, in the order in which they came
+  std::string read_buffer_;                // input that is not parsed yet
+  std::string request_body_;               // body of the request that is being read
+  std::string client_address_;             // empty if no resource groups are configured
+  std::deque<ClientRequestPtr> requests_;  // open requests, in the order of arrival
   std::deque<std::string> write_buffers_;
-  std::size_t unwritten_bytes_ = 0, front_written_bytes_ = 0;  // written: of the first buffer
+  // Bytes left to write in all buffers; bytes already written of the first buffer.
+  std::size_t unwritten_bytes_ = 0, front_written_bytes_ = 0;
   std::vector<std::function<void()>> drained_callbacks_;
   Time head_started_at_{}, last_active_at_{}, last_write_at_{};
   ClientConnectionState state_ = ClientConnectionState::reading;
--- a/src/path/descriptor_budget.cpp
+++ b/src/path/descriptor_budget.cpp
@@ -34,7 +34,7 @@
 void DescriptorBudget::descriptor_freed() {
   if (waiting_.empty() || resume_scheduled_) return;
   resume_scheduled_ = true;
-  // Later, not now: the caller is a connection in the middle of closing.
+  // Deferred, because the caller may be a connection that is about to close.
   environment_.defer([this] { resume_waiting(); });
 }
 
@@ -46,7 +46,8 @@
     resumed.pop_front();
     resume_(attempt);
     if (waiting_.empty()) continue;
-    // It found no descriptor and is first in line again: the others keep their places behind it.
+    // The attempt found no descriptor and is at the front of the queue again. The others follow in their
+    // order.
     waiting_.insert(waiting_.end(), resumed.begin(), resumed.end());
     return;
   }
@@ -79,7 +80,7 @@
   if (first) first->close_when_idle();
 }
 
-// Of those that are being closed, the one that connected first. Closing it a second time cuts it off.
+// Aborts the oldest of the connections that are closing: a second close_when_idle() closes one at once.
 bool DescriptorBudget::abort_closing_client() {
   const auto closing = [](const auto& one) {
     const auto idle = one.second->idle_state();
--- a/src/path/descriptor_budget.hpp
+++ b/src/path/descriptor_budget.hpp
@@ -1,22 +1,22 @@
-// Who may use the descriptors of the process: connections to engines, attempts that wait for one, and
-// clients.
+// DescriptorBudget decides which connections of a shard may use the file descriptors of the process:
+// connections to engines, attempts that wait for such a connection, and client connections.
 //
-// On the platform the process has few descriptors (`limits.sockets` of its deploy file). They are divided
-// beforehand: for the endpoint list and gossip, for clients, for clients that are being closed, for engines,
-// and for deletions of queries (query_deletions.hpp). This file keeps the shares of engines and clients.
+// On the platform the process has few descriptors (`limits.sockets` of its deploy file). They are divided in
+// advance among the endpoint list and gossip, clients, clients that are closing, engines, and deletions of
+// queries (query_deletions.hpp). This class manages the shares of the engines and of the clients.
 //
-// Failures guarded against:
-// - An attempt that finds no descriptor fails as if its engine were out of reach; the engine is then ejected
-//   though it is well. Here it closes the connection that has been idle longest, to whichever engine, or
-//   waits its turn.
-// - Idle clients hold all descriptors and a new client can't connect. The client that has been idle longest
-//   is closed, in order; if so many come that closing in order takes too long, one that is being closed is
-//   cut off.
+// It guards against these failures:
+// - An attempt that finds no descriptor fails as if its engine were unreachable, and a healthy engine is
+//   ejected. Instead, the attempt closes the engine connection that has been idle longest, whichever engine
+//   it belongs to, or waits in a queue.
+// - Idle clients occupy all descriptors, and a new client can't connect. The client that has been idle
+//   longest is closed gracefully. If clients arrive faster than graceful closing frees descriptors, a
+//   connection that is already closing is aborted.
 //
-// Limits, in connections: `engines.connections` of the configuration, divided among the shards, is how many a
-// shard may have to one engine, or on the platform to all engines together. Clients: `listen.connections`,
-// and on the platform `ending` more that are being closed. Off the platform only the cap on connections to
-// one engine applies.
+// Limits, in connections: `engines.connections` of the configuration, divided by the number of shards, limits
+// the connections of a shard to one engine, or on the platform to all engines together. Clients are limited
+// to `listen.connections`, plus `ending` clients that are closing on the platform. Off the platform, only the
+// limit on connections to one engine applies.
 #pragma once
 
 #include <cstddef>
@@ -36,8 +36,8 @@
 
 class DescriptorBudget {
  public:
-  // `resume`: called for each attempt that waited, when it may look for a connection again; it may come back
-  // to wait(). `pools` and `clients` belong to the shard and are only read here.
+  // `resume` is called for a waiting attempt when it may try to get a connection again; it may call wait()
+  // again. `pools` and `clients` belong to the shard and must outlive this object; their maps are only read.
   DescriptorBudget(ShardEnvironment& environment, const Config& config, Metrics& metrics,
                    unsigned shard_count, const EnginePools& pools, const ClientMap& clients,
                    std::function<void(const AttemptPtr&)> resume);
@@ -47,24 +47,26 @@
   [[nodiscard]] bool can_open_engine_connection() const {
     return pools_.connection_count() < max_engine_connections_;
   }
-  // Makes sure that one more connection to an engine may be opened, if need be by closing the one that has
-  // been idle longest. False: all are in use.
+  // Makes room for one more connection to an engine, if necessary by closing the connection that has been
+  // idle longest. Returns false if all connections are in use.
   bool evict_idle_connection();
-  // The attempt waits for a descriptor, behind those that wait already.
+  // Appends the attempt to the queue of attempts that wait for a descriptor.
   void wait(const AttemptPtr& attempt);
-  // False: the attempt does not wait here.
+  // Removes the attempt from the queue. Returns false if it was not in the queue.
   bool stop_waiting(const AttemptPtr& attempt) { return std::erase(waiting_, attempt) > 0; }
-  // A connection to an engine has become idle or is closed: attempts that wait are resumed soon, in their
-  // order.
+  // Must be called when a connection to an engine has become idle or is closed. Schedules the waiting
+  // attempts to be resumed in their order.
   void descriptor_freed();
 
   // ---- clients
-  // Whether one more client may be accepted; where none may, one that is idle is closed for it.
+  // Returns whether one more client may be accepted. At the limit, first tries to free the descriptor of
+  // another client.
   bool can_accept_client();
-  // A descriptor is wanted for another client: one that is being closed is cut off, or an idle one is closed.
+  // Frees a descriptor for a new client: aborts a connection that is closing or, if there is none, starts to
+  // close an idle one.
   void free_client_descriptor();
-  // One more client is about to be served: at the cap, an idle one is closed, in order, which takes it a
-  // moment.
+  // Must be called when one more client is about to be served. At the limit, starts to close an idle client
+  // gracefully; its descriptor is freed later.
   void close_idle_client_at_cap();
 
  private:
--- a/src/path/engine_connection.cpp
+++ b/src/path/engine_connection.cpp
@@ -8,11 +8,11 @@
 namespace heronwell::path {
 namespace {
 
-// Memory that a connection keeps for what it reads while nothing lies unparsed. A message of usual size fits,
-// and thousands of idle connections stay small.
+// Capacity of the read buffer that a connection keeps while the buffer is empty. A message of typical size
+// fits into it, and thousands of idle connections need little memory.
 constexpr std::size_t kMaxIdleBufferBytes = 8 << 10;
 
-// SQLSTATE program_limit_exceeded: the response is larger than whoever asked can take.
+// SQLSTATE program_limit_exceeded: the response is larger than `max_response_bytes` of its request.
 constexpr std::string_view kResponseTooLarge = "54000";
 
 }  // namespace
@@ -71,7 +71,7 @@
   if (state_ == EngineConnectionState::closed) return;
   if (malformed_row_ || session_.state() == sql::SessionState::over) return fail();
   if (state_ == EngineConnectionState::idle && !read_buffer_.empty())
-    fail();  // the engine spoke without being asked
+    fail();  // the engine sent data although no statement is in progress
 }
 
 void EngineConnection::on_closed(bool) { fail(); }
@@ -81,9 +81,10 @@
   if (!flush()) fail();
 }
 
-// Failure: while the connection came up, the engine was drained or moved, the request ended or its time
-// passed; the query runs on an engine that is about to end, or for nobody. Guard: not a byte of the statement
-// is written yet, and all of that is looked at once more before one is.
+// Checks once more, before the first byte of the statement is written, that the engine still accepts work at
+// the same address and that the attempt is still wanted and within its deadline. While the connection was
+// being established, the engine may have started to drain or moved, or the request may have ended. Without
+// the check, the query would run on an engine that is about to exit, or without a client.
 void EngineConnection::on_startup_complete() {
   timer_->cancel();
   apply(state_, EngineConnectionEvent::ready);
@@ -125,8 +126,8 @@
 
 bool EngineConnection::flush() { return path::flush(*stream_, write_buffer_, awaiting_writable_); }
 
-// The connection is closed, reset, out of time or malformed. What that says of its attempt depends on how far
-// it was.
+// Handles a connection that was closed or reset, timed out or received malformed data. The result of its
+// attempt depends on the state that the connection had reached.
 void EngineConnection::fail() {
   if (state_ == EngineConnectionState::closed) return;
   if (state_ == EngineConnectionState::connecting || state_ == EngineConnectionState::starting_up) {
@@ -139,7 +140,7 @@
     end_attempt(sql::StatementResult::cancelled);
   } else if (!error_code_.empty()) {
     end_attempt(sql::StatementResult::statement_error,
-                error_code_);  // FATAL: the engine said why before it closed
+                error_code_);  // FATAL: the engine reported an error before it closed the connection
   } else {
     end_attempt(sql::StatementResult::broken);
   }
@@ -171,7 +172,7 @@
 void EngineConnection::cancel(const AttemptPtr& attempt) {
   if (attempt_ != attempt || state_ == EngineConnectionState::closed) return;
   if (state_ == EngineConnectionState::connecting || state_ == EngineConnectionState::starting_up) {
-    // The attempt ends now; the connection, once it is up, may serve another.
+    // The attempt ends now. Once the connection is established, it may serve another attempt.
     apply(state_, EngineConnectionEvent::attempt_dropped);
     return end_attempt(sql::StatementResult::not_written);
   }
@@ -180,7 +181,7 @@
   shard_.metrics().cancels->Increment();
   set_timeout(shard_.config().engines.cancel_wait);
   shard_.request_cancel(address_, session_.process(), session_.secret());
-  resume_reading();  // what still comes is read and discarded
+  resume_reading();  // the rest of the response is read and discarded
 }
 
 // ---- the response --------------------------------------------------------------------------------------
@@ -211,7 +212,8 @@
     attempt_->rows.complete(attempt_->response.json, tag);
 }
 
-// More rows than whoever asked can take: reported as the statement's own fault, and cancelled at the engine.
+// Reports a response that exceeds `max_response_bytes` as an error of the statement, and cancels the
+// statement at the engine.
 void EngineConnection::reject_oversized_response() {
   const auto attempt = attempt_;
   attempt->response.table = nullptr;
@@ -243,9 +245,9 @@
   if (attempt_ && !attempt_->response_unwanted() && error_code_.empty() && !attempt_->response.table)
     attempt_->rows.finish(attempt_->response.json);
   forward_rows();
-  // Failure: the cancel request is still on its way when the statement is complete, and cancels the next one
-  // on this connection. Guard: a connection that was cancelled is not used again. The response counts all the
-  // same.
+  // A connection is not reused after a cancel request: the request may reach the engine after the statement
+  // is complete and would then cancel the next statement on the connection. The response itself is still
+  // valid.
   auto* pool = shard_.pool(engine_);
   const bool usable =
       session_.reusable() && pool != nullptr && pool->accepts_work && pool->address == address_;
@@ -261,9 +263,9 @@
   if (cancelling || !usable) close(EngineConnectionEvent::finished_unusable);
 }
 
-// A response is buffered up to `listen.hold` bytes, so that a failed attempt can be retried unseen. Then the
-// decision loop is asked whether it may be streamed, and nothing is read meanwhile. Once it is streamed, no
-// more is read than the client takes.
+// Buffers a response up to `listen.hold` bytes, so that a failed attempt can be retried without the client
+// noticing. When the buffer is full, asks the decision loop for permission to stream the response, and pauses
+// reading until the permission arrives. A response that is streamed is read only as fast as the client reads.
 void EngineConnection::pause_if_buffer_full() {
   if (attempt_->response_unwanted()) return;
   if (attempt_->state == AttemptState::streaming) return forward_rows();
@@ -284,7 +286,7 @@
     resume_reading();
 }
 
-// Sends on what has come of a response that is streamed; pauses while the client is behind.
+// Forwards the rows received so far of a streamed response. Pauses reading while the client is slow.
 void EngineConnection::forward_rows() {
   if (!attempt_ || attempt_->state != AttemptState::streaming) return;
   const auto& client = attempt_->request->client;
@@ -301,7 +303,7 @@
   stream_->set_reading(false);
 }
 
-// Later, not now: the caller may be in the middle of parsing, or of closing.
+// Deferred, because the caller may be parsing or closing.
 void EngineConnection::resume_reading() {
   if (!std::exchange(reading_paused_, false)) return;
   shard_.environment().defer([weak = weak_from_this()] {
--- a/src/path/engine_connection.hpp
+++ b/src/path/engine_connection.hpp
@@ -1,10 +1,12 @@
-// One connection to a SQL engine, by PostgreSQL's protocol: one statement at a time.
+// EngineConnection is one connection to a SQL engine. It uses the PostgreSQL protocol and runs one statement
+// at a time.
 //
-// Failure guarded against: a statement that meets what is left of the one before it, be that its rows or a
-// cancel request still on its way. It shows as rows of another query, or as a query that is cancelled for no
-// reason. A connection is therefore used again only after ReadyForQuery, and never after a cancel.
+// It is reused only after ReadyForQuery, and never after a cancel request. Otherwise a statement could
+// receive leftover rows of the previous statement, or be cancelled by a cancel request that was meant for the
+// previous statement and arrives late.
 //
-// Its states are EngineConnectionState (state_tables.hpp).
+// All calls are made on the thread of the shard. The states are listed in EngineConnectionState
+// (state_tables.hpp).
 #pragma once
 
 #include <memory>
@@ -42,8 +44,8 @@
   void on_startup_complete();
   void fail();
   void end_attempt(sql::StatementResult seen, std::string_view code = {});
-  bool flush();  // false: nothing can be written any more
-  // One timer: for the dial and start-up, then for the end of a statement that was cancelled.
+  bool flush();  // returns false if the connection can't be written to any more
+  // One timer is used for connecting and start-up, and later for the end of a cancelled statement.
   void set_timeout(Time duration);
   void forward_rows();
   void pause_reading();
@@ -69,9 +71,9 @@
   sql::Session session_;
   EngineConnectionState state_ = EngineConnectionState::connecting;
   AttemptPtr attempt_;
-  std::string read_buffer_, write_buffer_;  // not yet parsed; not yet written
+  std::string read_buffer_, write_buffer_;  // input not parsed yet; output not written yet
   bool awaiting_writable_ = false, reading_paused_ = false, malformed_row_ = false;
-  std::string error_code_;  // of the statement
+  std::string error_code_;  // SQLSTATE of the error that the engine reported; empty if none
   Time idle_since_{};
 };
 
--- a/src/path/engine_notices.cpp
+++ b/src/path/engine_notices.cpp
@@ -6,7 +6,7 @@
 namespace heronwell::path {
 namespace {
 
-// AttemptProgress::amount of a statement that waits: for memory, or for a load.
+// AttemptProgress::amount of a statement that is waiting for memory, or for its data group to be loaded.
 constexpr double kWaitsForMemory = 1.0, kWaitsForLoad = 2.0;
 constexpr double kNanosecondsPerMillisecond = 1e6;
 
@@ -16,7 +16,7 @@
   return value;
 }
 
-// Calls `visit` with the key and value of each "key=value" of "key=value key=value".
+// Calls `visit` with the key and the value of each "key=value" pair; pairs are separated by single spaces.
 void for_each_pair(std::string_view text, auto visit) {
   while (!text.empty()) {
     const auto space = text.find(' ');
--- a/src/path/engine_notices.hpp
+++ b/src/path/engine_notices.hpp
@@ -1,9 +1,9 @@
-// What an engine says beside its answer, by the extension points of PostgreSQL's protocol: notices whose
-// SQLSTATE is of class 01 (warning), subclass H, and a parameter that carries its load report. Read here into
-// typed values.
+// Parsers for messages that an engine sends in addition to its response. Engines use the extension points of
+// the PostgreSQL protocol for them: notices with an SQLSTATE of class 01 (warning), subclass H, and a
+// parameter that carries the load report. The functions convert them into typed values.
 //
-// A notice that is unknown or can't be read is none: an engine may say more than this router knows. A figure
-// that is no number reads as 0.
+// A notice that is unknown or malformed is ignored, because an engine may support more notices than this
+// router. A value that is not a number is read as 0.
 #pragma once
 
 #include <optional>
@@ -15,13 +15,14 @@
 
 namespace heronwell::path {
 
-// How far a statement has come (01H01), what it spilled to disk (01H02) or what it waits for (01H03).
-// `amount` is in the units of AttemptProgress: the share done, MB missing, 1 for memory or 2 for a load.
+// The progress of a statement (01H01), how much it spilled to disk (01H02), or the reason why it waits
+// (01H03). `amount` is in the units of AttemptProgress: the completed fraction, MB missing, or 1 for memory
+// and 2 for a load.
 struct ProgressNotice {
   ProgressKind kind = ProgressKind::progress;
   double amount = 0;
 };
-// What a statement has cost (01H04): "work_ms=12.5 memory_mb=64", either of them.
+// The cost of a statement (01H04): "work_ms=12.5 memory_mb=64". Either value may be absent.
 struct CostNotice {
   std::optional<Time> work;
   std::optional<double> memory_mb;
@@ -30,8 +31,8 @@
 
 EngineNotice read_notice(const sql::ErrorText& notice);
 
-// Reads a load report, "inflight=3 queue=0.5", into figures in the order of `fields`; 0 for one that is not
-// named.
+// Parses a load report such as "inflight=3 queue=0.5". Returns the values in the order of `fields`; a field
+// that the report does not contain is 0.
 std::vector<double> read_load_parameter(std::string_view value, const std::vector<LoadField>& fields);
 
 }  // namespace heronwell::path
--- a/src/path/engine_pool.cpp
+++ b/src/path/engine_pool.cpp
@@ -35,7 +35,7 @@
     pool.accepts_work = ready;
     pool.address = std::move(address);
     if (ready && !moved) continue;
-    // A copy: a connection takes itself out of the pool as it closes.
+    // Iterates over a copy, because a connection removes itself from the pool when it closes.
     for (const auto& connection : std::vector(pool.idle)) connection->close_unused();
   }
   for (auto& [id, pool] : pools_)
--- a/src/path/environment.hpp
+++ b/src/path/environment.hpp
@@ -1,7 +1,7 @@
-// What a shard needs from outside: a clock, random numbers, streams (stream.hpp), timers, a log, and the way
-// to the decision loop. The daemon gives it the machine's; the explorer and the emulator give it their own,
-// on virtual time. Nothing in this package waits, sleeps or reads a clock by itself, so that the same calls
-// give the same bytes.
+// ShardEnvironment provides the external services of a shard: a clock, random numbers, streams (stream.hpp),
+// timers, a log, and the channel to the decision loop. The daemon implements it with the services of the
+// operating system; the explorer and the emulator implement it on virtual time. Code in this package never
+// waits, sleeps or reads a clock directly, so that the same calls always produce the same bytes.
 #pragma once
 
 #include <cstdint>
@@ -19,40 +19,40 @@
 struct TimedEvent;
 struct Attempt;
 
-// Calls its callback once, at the moment set or later; never from within set() or cancel().
+// Calls its callback once, at the set time or later, and never from within set() or cancel().
 class Timer {
  public:
-  virtual ~Timer() = default;         // as cancel()
-  virtual void set(Time moment) = 0;  // in place of the moment set before
+  virtual ~Timer() = default;         // cancels the timer
+  virtual void set(Time moment) = 0;  // replaces the time set before
   virtual void cancel() = 0;
 };
 using TimerPtr = std::unique_ptr<Timer>;
 
 enum class Level { info, warn };
 
-// Of one shard; all calls on its thread.
+// Each shard has one. All calls are made on the thread of the shard.
 class ShardEnvironment {
  public:
   virtual ~ShardEnvironment() = default;
-  // Never goes back.
+  // The current time. It never decreases.
   [[nodiscard]] virtual Time now() = 0;
-  // 64 random bits, for the ids of traces.
+  // Returns 64 random bits for trace ids.
   virtual std::uint64_t random_bits() = 0;
-  // Bytes that nobody can guess, for idempotency keys.
+  // Fills the span with cryptographically random bytes, for idempotency keys.
   virtual void fill_random(std::span<unsigned char>) = 0;
-  // A stream that will be connected, or closed.
+  // Opens a stream to the address. The observer is notified when it is connected or closed.
   virtual StreamPtr dial(const config::Address& address) = 0;
   virtual TimerPtr create_timer(std::function<void()> then) = 0;
-  // Calls `then` soon, after the call that is running.
+  // Calls `then` soon after the current call has returned.
   virtual void defer(std::function<void()> then) = 0;
-  // To the decision loop, in order.
+  // Sends an event to the decision loop. The order of events is kept.
   virtual void publish(TimedEvent event) = 0;
-  // Carries an attempt as a message, without a connection and its bytes; false: it goes by connection.
-  // Whoever carries it calls Shard::end_attempt() in the end, also after cancel_message(). Only the
-  // emulator's fast fidelity does.
+  // Executes an attempt as a message, without a connection and its bytes. Returns false if the attempt must
+  // use a connection. An environment that returns true must finally call Shard::end_attempt(), also after
+  // cancel_message(). Only the emulator's fast fidelity supports this.
   virtual bool send_as_message(const std::shared_ptr<Attempt>&) { return false; }
   virtual void cancel_message(const std::shared_ptr<Attempt>&) {}
-  // `line`: a JSON object.
+  // Writes a log line. `line` is a JSON object.
   virtual void log(Level level, std::string line) = 0;
 };
 
--- a/src/path/frame_client_connection.cpp
+++ b/src/path/frame_client_connection.cpp
@@ -10,20 +10,22 @@
 
 using namespace std::chrono_literals;
 
-// Requests that a client may have open on one connection, by the platform's protocol.
+// Maximum number of open requests on one connection, as defined by the platform's protocol.
 constexpr std::size_t kMaxOpenRequests = 32;
-// Requests of one connection that are rejected before the connection is closed: a client that has a mistake
-// in one request is told so, one that goes on and on is cut off.
+// Number of requests of one connection that are rejected individually. A client with an error in a single
+// request gets a response; a client that continues to send invalid requests is disconnected.
 constexpr unsigned kMaxRejectedRequests = 16;
-// Bytes that are read and discarded behind the last response: frames that crossed the close. More is a client
-// that does not read the close.
+// Maximum number of bytes that are read and discarded once no more requests are accepted. These are frames
+// that the client sent before it received the go-away frame or the error. A client that sends more ignores
+// the close, and its connection is reset.
 constexpr std::size_t kMaxDiscardedBytes = 256 << 10;
-// Memory that an idle connection keeps in each buffer: a request of usual size fits.
+// Capacity that an idle connection keeps in each buffer. A request of typical size fits into it.
 constexpr std::size_t kMaxIdleBufferBytes = 4 << 10;
-// How long a connection whose last response is written stays open for the client to read it and close.
+// After its last response is written, a connection stays open for this long, so that the client can read the
+// response and close.
 constexpr Time kLingerDuration = 250ms;
-// For so long after it connected a client's first request may still be on the way: it is closed last of all
-// when descriptors run out.
+// For this long after a client connected, its first request may still be in transit. Such a connection is
+// closed last when descriptors run out.
 constexpr Time kFirstRequestGrace = 150ms;
 
 }  // namespace
@@ -43,7 +45,7 @@
 }
 
 void FrameClientConnection::on_data(std::string_view bytes) {
-  if (state_ != ClientConnectionState::reading) {  // discarded, up to a limit
+  if (state_ != ClientConnectionState::reading) {  // the input is discarded, up to a limit
     discarded_bytes_ += bytes.size();
     if (discarded_bytes_ > kMaxDiscardedBytes) close(ClientConnectionEvent::closed_locally, true);
     return;
@@ -91,7 +93,7 @@
   }
   if (frame.type == frames::FrameType::request) return on_request(frame);
   const auto found = open_requests_.find(frame.stream);
-  if (found == open_requests_.end()) {  // the response may have crossed the cancel frame
+  if (found == open_requests_.end()) {  // the response may have been sent before the cancel frame arrived
     if (frame.stream > last_stream_ && ++rejected_requests_ > kMaxRejectedRequests)
       close_with_error("streams that were never opened");
     return;
@@ -117,9 +119,8 @@
   if (open_requests_.size() >= kMaxOpenRequests)
     return reject(frame.stream, "expected at most 32 open requests");
   std::string id(parsed.id);
-  // Failure: a request that is not idempotent possibly runs already under this id; if it is rejected, the
-  // client takes a retry to be safe, and its effect happens twice. Guard: it is answered as failed, which
-  // says nothing of the kind.
+  // A request that is not idempotent may already be running under this id. It gets the response `failed`: a
+  // rejection would tell the client that a retry is safe, and the effect of the request could happen twice.
   const bool idempotent = cls->idempotency == Idempotency::idempotent;
   if (shard_.request_id_open(id))
     return reject(frame.stream, "i: expected an id that is new",
@@ -143,15 +144,16 @@
   shard_.submit(client_request, std::move(spec));
 }
 
-// The request was never admitted, so a retry is safe. A client that goes on sending such requests is closed.
+// Rejects a request that was not admitted; with the default code, the client may retry it. A client that
+// sends too many invalid requests is disconnected.
 void FrameClientConnection::reject(std::uint32_t stream, std::string_view reason, frames::ResponseCode code) {
   shard_.metrics().rejected->Increment();
   frames::put_response(write_buffer_, stream, code, {}, reason);
   if (++rejected_requests_ > kMaxRejectedRequests) close_with_error("too many requests that can't be taken");
 }
 
-// The client breaks the protocol, or sends what can't be read: an error on stream 0, then the connection is
-// closed.
+// Handles a client that violates the protocol or sends malformed data: sends an error on stream 0 and closes
+// the connection.
 void FrameClientConnection::close_with_error(std::string_view reason) {
   if (state_ != ClientConnectionState::reading) return;
   shard_.metrics().rejected->Increment();
@@ -161,9 +163,9 @@
   write_buffered();
 }
 
-// Failure: closing at once resets the connection if frames of the client lie unread, and the reset overtakes
-// responses. Guard: open requests get their responses first, then the client is told to go away, all that was
-// written arrives, and what crosses the end is read and discarded.
+// Closes the connection gracefully: open requests get their responses, then a go-away frame and the end of
+// the stream are sent, and input that still arrives is read and discarded. Closing the connection at once
+// would reset it if frames of the client are unread, and the reset could discard responses.
 void FrameClientConnection::begin_graceful_close() {
   if (state_ != ClientConnectionState::reading || !apply(state_, ClientConnectionEvent::last_request)) return;
   std::string().swap(read_buffer_);
@@ -185,7 +187,8 @@
                                       const router::Problem& problem) {
   const bool was_rejected = problem.outcome == router::ProblemOutcome::rejected ||
                             problem.outcome == router::ProblemOutcome::bad_request;
-  // In ms, rounded up: a client must not come back too early. A field is a view: the text outlives it.
+  // In ms, rounded up, so that the client does not retry too early. The string must outlive `fields`, which
+  // refers to it.
   const auto retry_after_ms = std::to_string((problem.retry_after + 1ms - Time(1)) / 1ms);
   std::vector<frames::Field> fields;
   if (was_rejected && problem.retry_after > Time::zero()) fields.push_back({"w", retry_after_ms});
@@ -288,7 +291,7 @@
     return;
   }
   if (!open_requests_.empty()) return;
-  // The client sends nothing, or stops in the middle of a frame.
+  // The client has not sent a complete frame, or stopped in the middle of one.
   const auto since = complete_frame_received_ ? frame_started_at_ : connected_at_;
   if ((!complete_frame_received_ || !read_buffer_.empty()) &&
       (now > last_active_at_ + listen.header_time || now > since + shard_.config().platform->frame_time))
--- a/src/path/frame_client_connection.hpp
+++ b/src/path/frame_client_connection.hpp
@@ -1,15 +1,16 @@
-// One client connection of the platform: frames in (src/frames), up to 32 requests open, responses in any
-// order.
+// FrameClientConnection serves one client of the platform's frame protocol (src/frames). A client may have up
+// to 32 requests open; responses are sent in any order.
 //
-// Failures guarded against:
-// - A client that drips frames, or never completes one: it is closed after `frame_time`, or
-//   `listen.header_time` of silence.
-// - A client that asks on and on and reads nothing: the shard counts what is buffered here against the limit
-//   for all clients (buffer_limit.hpp), and the client is closed after `listen.stall_time` without progress.
-// - A request id that is open, or that may have run and must not run twice: rejected, or failed where a
-//   rejection would wrongly promise that a retry is safe.
+// It guards against these failures:
+// - A client sends a frame very slowly or never completes it. The connection is closed when a frame takes
+//   longer than `frame_time`, or when nothing is received for `listen.header_time`.
+// - A client sends requests and does not read. The shard counts the bytes buffered here towards the limit for
+//   all clients (buffer_limit.hpp), and the connection is closed after `listen.stall_time` without progress.
+// - A client reuses a request id that is open, or whose request may have run and must not run twice. The
+//   request is rejected, or failed where a rejection would wrongly imply that a retry is safe.
 //
-// Its states are ClientConnectionState (state_tables.hpp).
+// All calls are made on the thread of the shard. The states are listed in ClientConnectionState
+// (state_tables.hpp).
 #pragma once
 
 #include <map>
@@ -54,7 +55,7 @@
               frames::ResponseCode code = frames::ResponseCode::rejected);
   void close_with_error(std::string_view reason);
   void begin_graceful_close();
-  // Says goodbye if the connection is closing and no request is open any more.
+  // Sends the go-away frame if the connection is closing and no request is open any more.
   void finish_graceful_close();
   void respond(const ClientRequestPtr& client_request, frames::ResponseCode code,
                const std::vector<frames::Field>& fields, std::string_view body);
@@ -62,22 +63,22 @@
   void forget(std::map<std::uint32_t, ClientRequestPtr>::iterator position);
   void write_buffered();
   void write_out();
-  void account_buffered();  // tells the shard how much is buffered here
+  void account_buffered();  // reports the number of buffered bytes to the shard
   void close(ClientConnectionEvent reason, bool reset = false);
 
   Shard& shard_;
   std::uint64_t number_;
   StreamPtr stream_;
-  std::string read_buffer_, write_buffer_;                   // not yet parsed; not yet written
+  std::string read_buffer_, write_buffer_;                   // input not parsed yet; output not written yet
   std::map<std::uint32_t, ClientRequestPtr> open_requests_;  // by stream
   std::size_t statement_bytes_ = 0,
-              accounted_bytes_ = 0;  // of open requests; of all, as the shard knows them
+              accounted_bytes_ = 0;  // statements of open requests; total last reported to the shard
   std::uint32_t last_stream_ = 0;
-  unsigned rejected_requests_ = 0;        // before it is closed for them
-  std::size_t discarded_bytes_ = 0;       // read after the last response
+  unsigned rejected_requests_ = 0;        // limited by kMaxRejectedRequests
+  std::size_t discarded_bytes_ = 0;       // input received since requests are no longer accepted
   bool complete_frame_received_ = false;  // other than a cancel frame
   Time connected_at_{}, last_active_at_{}, last_write_at_{};
-  Time frame_started_at_{};  // when the frame that is incomplete began
+  Time frame_started_at_{};  // arrival of the first bytes of the incomplete frame
   ClientConnectionState state_ = ClientConnectionState::reading;
   bool awaiting_writable_ = false;
 };
--- a/src/path/host_header.hpp
+++ b/src/path/host_header.hpp
@@ -1,4 +1,4 @@
-// The Host header of a call to an engine of the platform.
+// Builds the value of the Host header, "host:port", for a call to an engine of the platform.
 #pragma once
 
 #include <string>
--- a/src/path/page.hpp
+++ b/src/path/page.hpp
@@ -1,4 +1,5 @@
-// The page at /graphql for a person's browser: paste a query, see the answer. No script from elsewhere.
+// The HTML page served to browsers at /graphql. A user enters a query and sees the response. The page loads
+// no external scripts.
 #pragma once
 
 #include <string_view>
--- a/src/path/protocols.hpp
+++ b/src/path/protocols.hpp
@@ -1,5 +1,6 @@
-// What a shard needs of the connections on its two sides, whatever protocol they speak: HTTP or the
-// platform's frames to clients, PostgreSQL's protocol or the platform's calls to engines.
+// Interfaces through which a shard uses its connections, independent of the protocol. Client connections use
+// HTTP or the platform's frames; engine connections use the PostgreSQL protocol or the platform's query
+// calls. All calls are made on the thread of the shard.
 #pragma once
 
 #include <compare>
@@ -14,40 +15,40 @@
  public:
   virtual ~ClientProtocol() = default;
   virtual void start() = 0;
-  virtual void close_expired(Time now) = 0;  // closes it if one of its times has passed
-  virtual void begin_shutdown() = 0;         // the router stops serving, or ends: closes it in order
-  virtual void abort() = 0;                  // closes it at once; the process ends
-  // Of a connection that may be closed for want of descriptors: which goes first, and since when it is idle.
-  // One that has just connected goes last: its first request may be on the way.
+  virtual void close_expired(Time now) = 0;  // closes it if one of its timeouts has expired
+  virtual void begin_shutdown() = 0;         // the router is shutting down: closes it gracefully
+  virtual void abort() = 0;                  // closes it at once, at the end of the process
+  // Orders idle connections for eviction when descriptors run out; the smallest value is evicted first. A
+  // connection that was just established is evicted last, because its first request may be in transit.
   struct IdleState {
     enum class EvictionOrder : std::uint8_t { no_request_yet, served_before, just_connected };
     EvictionOrder eviction_order = EvictionOrder::served_before;
     Time since{};
-    bool ending = false;  // it is being closed, in order
+    bool ending = false;  // it is being closed gracefully
     auto operator<=>(const IdleState&) const = default;
   };
-  // nullopt: it is not idle, or its protocol never gives up connections.
+  // Returns nullopt if the connection is not idle, or if connections of its protocol are never evicted.
   [[nodiscard]] virtual std::optional<IdleState> idle_state() const { return std::nullopt; }
-  // Closes it in order; a second call cuts it off.
+  // Closes the connection gracefully. A second call closes it at once.
   virtual void close_when_idle() {}
 };
 
 class EngineProtocol {
  public:
   virtual ~EngineProtocol() = default;
-  // Opens the connection for this attempt; once.
+  // Opens the connection for this attempt. Must be called once.
   virtual void connect(AttemptPtr attempt) = 0;
-  // Starts the attempt on this connection, which is idle. False: it was found closed before a byte was
-  // written, and the attempt may start on another.
+  // Starts the attempt on this idle connection. Returns false if the connection turned out to be unusable
+  // before a byte was written; the attempt may then start on another connection.
   virtual bool start(const AttemptPtr& attempt) = 0;
-  // Cancels the attempt at the engine, or drops it while the connection comes up.
+  // Cancels the attempt at the engine, or drops it if the connection is still being established.
   virtual void cancel(const AttemptPtr& attempt) = 0;
-  // The attempt's response may be streamed to its client.
+  // Permits the attempt's response to be streamed to its client.
   virtual void begin_stream() = 0;
-  // Closes it; an attempt on it hears nothing of that.
+  // Closes the connection without ending an attempt on it.
   virtual void close_unused() = 0;
   [[nodiscard]] virtual Time idle_since() const = 0;
-  // From then on it may be used again.
+  // Returns the time from which the idle connection may be used again.
   [[nodiscard]] virtual Time reusable_at() const { return idle_since(); }
 };
 
--- a/src/path/query_call_connection.cpp
+++ b/src/path/query_call_connection.cpp
@@ -11,27 +11,27 @@
 
 using namespace std::chrono_literals;
 
-// An engine holds a poll for news of its query this long before it answers that there is none.
+// An engine delays its response to a poll for up to this long if the state of the query has not changed.
 constexpr Time kPollWait = 250ms;
-// How much longer the response to a poll or start is awaited before the query is polled for on another
-// connection: the network's delays and an engine that is busy. Together with kPollWait well below the 2 s
-// after which an engine gives up a query that nobody polls for.
+// Additional time to wait for the response to a poll or start before the query is polled on another
+// connection. It covers network delays and a busy engine. The sum with kPollWait is well below the 2 s after
+// which an engine drops a query that is not polled.
 constexpr Time kResponseSlack = 600ms;
-// How long the response to a page is awaited: the engine has it at hand, so it is the slack alone.
+// Time to wait for a page of a result. The engine already has the page, so this is the slack alone.
 constexpr Time kPageTimeout = 600ms;
-// The connect timeout is divided into so many parts; at the end of each but the last another connection is
-// opened beside one that is late to come up.
+// The connect timeout is divided into this many parts. At the end of each part but the last, another
+// connection is opened in parallel if none has been established.
 constexpr int kDialTimeoutParts = 3;
-// How many further connections one attempt may open after it lost one: to poll for its query again, or to
-// connect anew after a reset before the first byte. A running query is found by the first poll; the others
-// are for further faults at the same time.
+// Number of connections that one attempt may open after it lost a connection, either to poll its query again
+// or to reconnect after a reset before the first byte. The first poll finds a query that is running; the
+// other connections allow for further faults at the same time.
 constexpr unsigned kMaxReconnects = 4;
-// Interim responses (1xx) to one call. No engine of the platform sends any; more than a few are a peer gone
-// wrong.
+// Maximum number of interim responses (1xx) to one call. The platform's engines send none; a peer that sends
+// many is faulty.
 constexpr unsigned kMaxInterimResponses = 8;
-// After a response, until the connection may be used again. An engine may answer a call twice, the second
-// time within the network's delays; a duplicate that comes in this time is seen before another call could
-// take it for its own.
+// Time after a response during which the connection is not reused. An engine may answer a call twice, and the
+// duplicate arrives within the network's delays. If it arrives during this time, it can't be mistaken for the
+// response to the next call.
 constexpr Time kDuplicateResponseWindow = 50ms;
 
 http::Limits limits() {
@@ -79,9 +79,10 @@
   stream_->attach(weak_from_this());
 }
 
-// Failure: one packet of a connection's set-up is lost, the connection comes up a second late or not at all,
-// and a healthy engine is taken to be out of reach. Guard: another connection is opened beside the late one
-// before the dial timeout; the first that comes up starts the attempt.
+// Opens another connection in parallel if this one is not established after a part of the dial timeout. The
+// connection that is established first starts the attempt. Without this, the loss of one packet of the
+// connection set-up delays the connection by a second or prevents it, and a healthy engine is treated as
+// unreachable.
 void QueryCallConnection::on_timeout() {
   const bool connecting =
       state_ == EngineConnectionState::connecting && opened_to_start_ && attempt_ != nullptr;
@@ -107,11 +108,12 @@
   if (attempt && opened_to_start_) {
     --attempt->pending_connections;
     if (attempt->first_byte_sent_at > Time::zero())
-      attempt = nullptr;  // started on a connection that came up before
+      attempt = nullptr;  // already started on a connection that was established earlier
   }
   const bool started = attempt && attempt->first_byte_sent_at > Time::zero();
-  // While the connection came up, the engine may have been drained, the client have left or the time be over.
-  // A query that is started already is polled for all the same: nothing new is sent.
+  // While the connection was being established, the engine may have started to drain, the client may have
+  // disconnected, or the deadline may have passed. A query that is already started is still polled, because a
+  // poll starts no work.
   if (attempt && !started && (attempt->response_unwanted() || !fit || !shard_.may_start(*attempt))) {
     shard_.end_attempt(attempt, calls::attempt_result_of(calls::CallResult::not_written));
     attempt = nullptr;
@@ -120,7 +122,8 @@
   if (!attempt) return pool->idle.push_back(shared_from_this());
   if (!started && shard_.defer_until_input_read(attempt)) return pool->idle.push_back(shared_from_this());
   if (start(attempt)) return;
-  // Reset while new, before a byte was written: the engine knows nothing of it, and may be well.
+  // The new connection was reset before a byte was written. The engine has not seen the attempt and may be
+  // healthy.
   if (++attempt->reconnects <= kMaxReconnects) return shard_.resume_polling(attempt);
   shard_.end_attempt(attempt, calls::attempt_result_of(started ? calls::CallResult::broken
                                                                : calls::CallResult::not_connected));
@@ -160,9 +163,8 @@
 
 bool QueryCallConnection::send_next_call() {
   const auto now = shard_.now();
-  // Failure: a start is sent twice, on a second connection or after a loss, and a query that is not
-  // idempotent runs twice. Guard: once a byte of a start has gone out anywhere, its attempt polls and never
-  // starts again.
+  // A start is sent at most once: as soon as one byte of it is written on any connection, the attempt only
+  // polls. Otherwise a query that is not idempotent could run twice, after a second connection or a lost one.
   const bool starts = attempt_->first_byte_sent_at == Time::zero();
   const bool fetches_page = !starts && attempt_->ticket != 0 && attempt_->page_count > 0;
   put_next_call(starts);
@@ -186,9 +188,9 @@
 
 bool QueryCallConnection::flush() { return path::flush(*stream_, write_buffer_, awaiting_writable_); }
 
-// Failure: the rest of a start is written after its client has left or its time is over, and its query runs
-// for nobody. Guard: an engine runs no start that it has in part, and it is not completed once the attempt
-// may not start any more.
+// Does not complete a partially written start once the attempt may not start any more. An engine does not run
+// an incomplete start. Without this check, the query could run after its client has disconnected or its
+// deadline has passed.
 void QueryCallConnection::on_writable() {
   awaiting_writable_ = false;
   if (start_incomplete_ && !shard_.may_start(*attempt_)) {
@@ -211,7 +213,7 @@
 
 void QueryCallConnection::on_data(std::string_view bytes) {
   const auto self = shared_from_this();
-  if (state_ != EngineConnectionState::busy) return fail(Failure::broken);  // nothing was asked
+  if (state_ != EngineConnectionState::busy) return fail(Failure::broken);  // no call is in flight
   read_buffer_ += bytes;
   parse();
 }
@@ -236,8 +238,8 @@
   read_buffer_.erase(0, used);
 }
 
-// The response to the call in flight is complete. Bytes behind it belong to no call: the connection is not
-// used again, but the response counts.
+// Handles the complete response to the call in flight. If more bytes follow, they belong to no call: the
+// response is valid, but the connection is not reused.
 void QueryCallConnection::on_response() {
   timer_->cancel();
   response_received_ = true;
@@ -246,7 +248,7 @@
   on_page();
 }
 
-// 200: healthy; 503: the engine says that it is not; anything else is not an answer to this call.
+// Status 200 means healthy and 503 unhealthy. Any other status is not a valid response to a health check.
 void QueryCallConnection::on_health_check_response() {
   constexpr int kHealthy = 200, kUnhealthy = 503;
   auto result = AttemptResult::reset;
@@ -282,7 +284,7 @@
 
 void QueryCallConnection::on_page() {
   constexpr int kPageLost = 500;
-  // The engine has lost the page: the query has run, and its result is gone.
+  // The engine has lost the page: the query ran, but its result is no longer available.
   if (parser_.status() == kPageLost) return finish(calls::attempt_result_of(calls::CallResult::error));
   if (!calls::is_complete_page(parser_, response_body_, attempt_->next_page) ||
       attempt_->response.json.size() + response_body_.size() > calls::kMaxResultBytes)
@@ -293,7 +295,7 @@
   continue_polling();
 }
 
-// The next call goes out on this connection, unless it is not to be trusted any more or closes.
+// Sends the next call on this connection, unless unexpected bytes were received or the engine closes it.
 void QueryCallConnection::continue_polling() {
   if (!read_buffer_.empty() || !parser_.keep_alive() || !send_next_call()) fail(Failure::broken);
 }
@@ -314,8 +316,8 @@
   if (!usable) close(EngineConnectionEvent::finished_unusable);
 }
 
-// The connection is lost, silent, or not to be trusted any more. What that says of its attempt depends on how
-// far it was.
+// Handles a connection that was lost, timed out or received invalid data. The result of its attempt depends
+// on the state that the connection had reached.
 void QueryCallConnection::fail(Failure failure) {
   if (state_ == EngineConnectionState::closed) return;
   const bool connecting =
@@ -325,10 +327,10 @@
   if (!attempt) return;
   if (connecting && opened_to_start_) {
     --attempt->pending_connections;
-    // Another connection goes on for it.
+    // Another connection continues the attempt.
     if (attempt->pending_connections > 0 || attempt->first_byte_sent_at > Time::zero()) return;
   }
-  // Not the engine's failure: it must not be counted against it.
+  // A missing descriptor is a local failure and must not be counted against the engine.
   if (failure == Failure::no_descriptor && !attempt->response_unwanted())
     return shard_.wait_for_descriptor(attempt);
   if (attempt->first_byte_sent_at == Time::zero()) return fail_before_start(attempt, failure, connecting);
@@ -336,7 +338,7 @@
 }
 
 void QueryCallConnection::fail_before_start(const AttemptPtr& attempt, Failure failure, bool connecting) {
-  // Reset while new: the engine knows nothing of the attempt, and may be well.
+  // The new connection was reset. The engine has not seen the attempt and may be healthy.
   if (connecting && failure == Failure::broken && !attempt->response_unwanted() &&
       attempt->deadline > shard_.now() && ++attempt->reconnects <= kMaxReconnects)
     return shard_.resume_polling(attempt);
@@ -346,10 +348,10 @@
   shard_.end_attempt(attempt, health_check_cut ? AttemptResult::reset : calls::attempt_result_of(seen));
 }
 
-// The query may run on, and is polled for on another connection: until its deadline if the engine is silent,
-// a few times if connections break. After that it is deleted.
+// Polls the query on another connection, because it may still be running: until its deadline if the engine
+// does not respond, and up to kMaxReconnects times if connections break. After that, the query is deleted.
 void QueryCallConnection::fail_after_start(const AttemptPtr& attempt, Failure failure) {
-  // The process that ran the query is gone, and the query with it: there is nothing to delete.
+  // The process that ran the query has exited, so there is no query to delete.
   const bool process_gone = failure == Failure::connection_refused;
   const bool poll_again = !process_gone && attempt->deadline > shard_.now() &&
                           (failure == Failure::timed_out || attempt->reconnects < kMaxReconnects);
@@ -367,8 +369,9 @@
 void QueryCallConnection::close(EngineConnectionEvent why) {
   if (state_ == EngineConnectionState::closed) return;
   const auto self = shared_from_this();
-  // Failure: a call that is cancelled here lies in the system's buffers, arrives later, and starts or polls a
-  // query that is taken to be over. Guard: a reset drops what was not delivered.
+  // A connection with a call in flight is reset, which discards data that is not delivered yet. Otherwise the
+  // call could remain in the buffers of the operating system, arrive late, and start or poll a query that the
+  // router considers finished.
   const bool call_in_flight =
       state_ == EngineConnectionState::busy && why != EngineConnectionEvent::finished_unusable;
   apply(state_, why);
--- a/src/path/query_call_connection.hpp
+++ b/src/path/query_call_connection.hpp
@@ -1,10 +1,12 @@
-// One connection to an engine of the platform: HTTP/1.1, one call at a time (src/calls).
+// QueryCallConnection is one connection to an engine of the platform. It uses HTTP/1.1 and carries one call
+// at a time (src/calls).
 //
-// An attempt starts its query with one call, polls for its status until it is complete, and fetches the pages
-// of its result, one call each. No connection owns a query: if one is lost, the attempt polls for its query
-// on another. The call that starts a query is sent at most once.
+// An attempt starts its query with one call, polls the status until the query is complete, and then fetches
+// each page of the result with one call. A query does not depend on a connection: if the connection is lost,
+// the attempt polls the query on another one. The call that starts a query is sent at most once.
 //
-// Its states are EngineConnectionState (state_tables.hpp).
+// All calls are made on the thread of the shard. The states are listed in EngineConnectionState
+// (state_tables.hpp).
 #pragma once
 
 #include <memory>
@@ -25,7 +27,7 @@
   void connect(AttemptPtr attempt) override;
   bool start(const AttemptPtr& attempt) override;
   void cancel(const AttemptPtr& attempt) override;
-  void begin_stream() override {}  // results are short: none is streamed before it is complete
+  void begin_stream() override {}  // results are small and are delivered only when they are complete
   void close_unused() override;
   [[nodiscard]] Time idle_since() const override { return idle_since_; }
   [[nodiscard]] Time reusable_at() const override;
@@ -36,11 +38,12 @@
   void on_closed(bool broken) override;
 
  private:
-  // Why a connection failed: lost or not to be trusted any more; silent until its timeout; refused by the
-  // engine's machine, so that no process listens there; or for want of a descriptor or port here.
+  // Why a connection failed. broken: it was lost or received invalid data. timed_out: no response in time.
+  // connection_refused: no process listens at the engine's address. no_descriptor: no local descriptor or
+  // port was available.
   enum class Failure : std::uint8_t { broken, timed_out, connection_refused, no_descriptor };
 
-  bool send_next_call();  // for the attempt; false: not a byte could be written
+  bool send_next_call();  // for the attempt; returns false if no byte could be written
   void put_next_call(bool starts);
   bool flush();
   void parse();
@@ -66,13 +69,13 @@
   http::Parser parser_;
   EngineConnectionState state_ = EngineConnectionState::connecting;
   AttemptPtr attempt_;
-  std::string read_buffer_, write_buffer_;  // not yet parsed; not yet written
+  std::string read_buffer_, write_buffer_;  // input not parsed yet; output not written yet
   std::string response_body_;
-  unsigned interim_responses_ = 0;  // of status 1xx, in front of the final one
+  unsigned interim_responses_ = 0;  // responses of status 1xx to the current call
   bool awaiting_writable_ = false;
-  bool opened_to_start_ = false;    // for an attempt to start on it, not to poll
-  bool response_received_ = false;  // one at least, ever
-  bool start_incomplete_ = false;   // a call that starts a query is written in part
+  bool opened_to_start_ = false;    // opened to start an attempt, not to poll
+  bool response_received_ = false;  // at least one since it was opened
+  bool start_incomplete_ = false;   // a call that starts a query is partially written
   Time idle_since_{};
 };
 
--- a/src/path/query_deletion.cpp
+++ b/src/path/query_deletion.cpp
@@ -11,14 +11,14 @@
 
 using namespace std::chrono_literals;
 
-// After the last poll, by when an engine has given a query up by itself. The platform's engines do so after 2
-// s without a poll; 50 ms more for the way of that poll.
-constexpr Time kQueryForgottenAfter = 2050ms;
-// Between a lost call and the next. Several fit into the time above, and a lost packet does not hold a
-// request id long.
+// Time after the last poll by which an engine has dropped a query without being asked. The platform's engines
+// drop a query after 2 s without a poll; 50 ms are added for the network delay of the last poll.
+constexpr Time kUnpolledQueryLifetime = 2050ms;
+// Delay before a lost call is repeated. Several retries fit into the time above, and the loss of a packet
+// blocks a request id only briefly.
 constexpr Time kRetryInterval = 100ms;
-// Until a deletion that found all connections for deletions in use looks again. Short beside kRetryInterval,
-// as a deletion on a healthy engine takes a few milliseconds.
+// Delay before a deletion tries again if all connections for deletions are in use. It is shorter than
+// kRetryInterval, because a deletion on a healthy engine takes a few milliseconds.
 constexpr Time kConnectionWait = 20ms;
 
 }  // namespace
@@ -28,17 +28,17 @@
       number_(number),
       attempt_(std::move(attempt)),
       result_(result),
-      forgotten_at_(attempt_->last_polled_at + kQueryForgottenAfter) {
+      dropped_by_engine_at_(attempt_->last_polled_at + kUnpolledQueryLifetime) {
   timer_ = shard_.environment().create_timer([this] { on_timer(); });
 }
 
 void QueryDeletion::dial() {
   if (!shard_.can_open_deletion())
-    return timer_->set(std::min(forgotten_at_, shard_.now() + kConnectionWait));
+    return timer_->set(std::min(dropped_by_engine_at_, shard_.now() + kConnectionWait));
   connected_ = false;
   write_buffer_.clear();
   calls::put_delete(write_buffer_, host_header(attempt_->address), attempt_->request->client_request_id);
-  timer_->set(std::min(forgotten_at_, shard_.now() + shard_.config().engines.dial_timeout));
+  timer_->set(std::min(dropped_by_engine_at_, shard_.now() + shard_.config().engines.dial_timeout));
   stream_ = shard_.environment().dial(attempt_->address);
   stream_->attach(weak_from_this());
   shard_.metrics().cancels->Increment();
@@ -55,7 +55,7 @@
   if (!flush(*stream_, write_buffer_, awaiting_writable)) on_closed(true);
 }
 
-// Any response proves that the engine has the complete call.
+// Any response proves that the engine has received the complete call.
 void QueryDeletion::on_data(std::string_view) {
   response_received_ = true;
   finish();
@@ -63,10 +63,10 @@
 
 void QueryDeletion::on_closed(bool) {
   if (finished_) return;
-  // The process that ran the query is gone, and the query with it.
+  // The process that ran the query has exited, so the query does not run any more.
   if (!connected_ && stream_->dial_failure() == DialFailure::refused) return finish();
   close_stream(false);
-  timer_->set(std::min(forgotten_at_, shard_.now() + kRetryInterval));
+  timer_->set(std::min(dropped_by_engine_at_, shard_.now() + kRetryInterval));
 }
 
 void QueryDeletion::close_stream(bool reset) {
@@ -77,8 +77,8 @@
 
 void QueryDeletion::on_timer() {
   const auto self = shared_from_this();
-  if (shard_.now() >= forgotten_at_) return finish();
-  if (stream_ && connected_) return timer_->set(forgotten_at_);  // the engine may be slow to respond
+  if (shard_.now() >= dropped_by_engine_at_) return finish();
+  if (stream_ && connected_) return timer_->set(dropped_by_engine_at_);  // the engine may still respond
   close_stream(true);
   dial();
 }
@@ -86,8 +86,9 @@
 void QueryDeletion::finish() {
   if (std::exchange(finished_, true)) return;
   const auto self = shared_from_this();
-  // Failure: a call without a response still lies in the system's buffers, arrives later, and deletes a new
-  // query of the same id. Guard: a reset drops what was not delivered.
+  // A connection whose call has no response is reset, which discards data that is not delivered yet.
+  // Otherwise the call could remain in the buffers of the operating system, arrive late, and delete a new
+  // query of the same id.
   close_stream(!response_received_);
   timer_->cancel();
   shard_.query_deleted(number_, attempt_, result_);
--- a/src/path/query_deletion.hpp
+++ b/src/path/query_deletion.hpp
@@ -1,10 +1,12 @@
-// The call by which an engine of the platform is told to delete a query (DELETE, src/calls).
+// QueryDeletion sends the call that makes an engine of the platform delete a query (DELETE, src/calls).
 //
-// Failure guarded against: the call is lost, the query runs on, and its attempt is taken to be over while it
-// may still have an effect. The call is therefore repeated, on a connection of its own each time, until any
-// response proves that the engine has it, until a refused connection proves that its process is gone, or
-// until the engine must have given the query up by itself, as nobody has polled for it. Only then does the
-// attempt end (query_deletions.hpp).
+// If the call were lost, the query would continue to run, and could still have an effect after its attempt
+// was reported as ended. The call is therefore repeated, each time on a new connection, until one of these
+// holds:
+// - A response proves that the engine has received the call.
+// - A refused connection proves that the process of the engine has exited.
+// - The engine has dropped the query by itself, because it was not polled for long enough.
+// Only then does the attempt end (query_deletions.hpp).
 #pragma once
 
 #include <memory>
@@ -16,13 +18,13 @@
 
 class QueryDeletion final : public std::enable_shared_from_this<QueryDeletion>, public StreamObserver {
  public:
-  // `result`: what the attempt ends with, once its query is deleted.
+  // `result` is the result of the attempt once its query is deleted.
   QueryDeletion(Shard& shard, std::uint64_t number, AttemptPtr attempt, AttemptResult result);
-  // Opens a connection for the call, now or once one of those that deletions may have is free.
+  // Opens a connection for the call, now or as soon as the limit on connections for deletions permits.
   void dial();
-  // Gives the call up without a word to engine or attempt; for the end of the shard.
+  // Stops without deleting the query or ending the attempt. Used when the shard is destroyed.
   void abandon();
-  // Whether it has a connection, open or being opened.
+  // Returns whether it has a connection, established or being established.
   [[nodiscard]] bool dialled() const { return stream_ != nullptr; }
 
   void on_connected() override;
@@ -40,7 +42,7 @@
   AttemptPtr attempt_;
   AttemptResult result_;
   std::string write_buffer_;
-  Time forgotten_at_{};  // by then the engine has given the query up by itself
+  Time dropped_by_engine_at_{};  // by then the engine has dropped the query by itself
   StreamPtr stream_;
   TimerPtr timer_;
   bool connected_ = false, response_received_ = false, finished_ = false;
--- a/src/path/query_deletions.cpp
+++ b/src/path/query_deletions.cpp
@@ -8,9 +8,9 @@
 namespace heronwell::path {
 namespace {
 
-// Request ids that are remembered as possibly run. Each is a client that left a request which is not
-// idempotent, so that many within one deadline are clients gone wrong; a further one is not remembered, and
-// its reuse not rejected.
+// Maximum number of request ids that are recorded as possibly run. Each stands for a client that abandoned a
+// request that is not idempotent, so only faulty clients produce this many within one deadline. Further ids
+// are not recorded, and their reuse is not rejected.
 constexpr std::size_t kMaxPossiblyRanIds = 4096;
 
 }  // namespace
--- a/src/path/query_deletions.hpp
+++ b/src/path/query_deletions.hpp
@@ -1,18 +1,21 @@
-// Queries that engines have yet to delete, and what follows from that for requests of the same id.
+// QueryDeletions tracks queries that engines have not deleted yet, and delays or rejects requests that reuse
+// their request ids.
 //
-// On the platform a query outlives the connection on which it was started and is known to its engine by the
-// client's request id. An attempt that is cancelled, or whose engine can't be asked any more, is therefore
-// deleted at the engine by a call of its own (query_deletion.hpp). It counts as in flight until the engine
-// has confirmed, or must have given it up by itself.
+// On the platform, a query outlives the connection on which it was started; an engine identifies it by the
+// client's request id. When an attempt is cancelled, or its engine can't be polled any more, the query is
+// therefore deleted with a separate call (query_deletion.hpp). The attempt counts as in flight until the
+// engine has confirmed the deletion or has dropped the query by itself.
 //
-// Failures guarded against:
-// - A client reuses a request id while the engine still deletes its predecessor. The engine then drops the
-//   new query as a duplicate, or the late deletion ends the new one; either way the client times out. The new
-//   attempt waits here until the deletion is confirmed, so at most one query of an id exists at an engine.
-// - A client leaves a request that is not idempotent after an attempt of it may have run, and sends the id
-//   again. If it ran again its effect would happen twice. Its id is remembered until the request's deadline.
-// - Many attempts are cancelled at once and their deletions use up the descriptors. Only `max_connections` of
-//   them have a connection at a time; the others wait for one to be free.
+// It guards against these failures:
+// - A client reuses a request id while the engine is still deleting the previous query of that id. The engine
+//   would drop the new query as a duplicate, or the late deletion would delete the new query; either way the
+//   client would time out. The new attempt waits here until the deletion is confirmed, so that an engine has
+//   at most one query of an id.
+// - A client abandons a request that is not idempotent after an attempt of it may have run, and sends the
+//   same id again. If the request ran again, its effect would happen twice. The id is recorded until the
+//   deadline of the request.
+// - Many attempts are cancelled at once, and their deletions exhaust the descriptors. Only `max_connections`
+//   deletions have a connection at a time; the others wait.
 #pragma once
 
 #include <cstddef>
@@ -30,32 +33,34 @@
 
 class QueryDeletions {
  public:
-  // `max_connections`: deletions that may have a connection at a time, `removals` of the platform's settings.
+  // `max_connections` limits the deletions that have a connection at a time (`removals` of the platform's
+  // settings).
   explicit QueryDeletions(std::size_t max_connections);
   ~QueryDeletions();
 
   // ---- deletions
   [[nodiscard]] bool can_open_connection() const;
-  // A deletion of a query with this request id begins.
+  // Adds a deletion of a query with this request id.
   void add(std::uint64_t number, const std::string& request_id, std::shared_ptr<QueryDeletion> deletion);
-  // The deletion is over, its connection closed. Its request id stays pending until confirm().
+  // Removes a finished deletion. Its request id stays pending until confirm().
   void remove(std::uint64_t number);
-  // The attempt of a deletion has ended. Returns the attempt that waited for the last deletion of this id, if
-  // one did: it may start now.
+  // Must be called when the attempt of a deletion has ended. After the last pending deletion of the id,
+  // returns the attempt that waited for it, which may start now; otherwise returns null.
   [[nodiscard]] AttemptPtr confirm(const std::string& request_id);
-  // Drops all of them without a word to engines or attempts; for the end of the shard.
+  // Stops all deletions without deleting the queries or ending the attempts. Used when the shard is
+  // destroyed.
   void abandon_all();
   [[nodiscard]] std::size_t size() const { return deletions_.size(); }
 
-  // ---- attempts that wait until a predecessor is deleted
-  // False: nothing of its request id is being deleted, and it may start.
+  // ---- attempts that wait until the previous query of their request id is deleted
+  // Returns false if no query of the request id is being deleted, so that the attempt may start at once.
   bool wait(const AttemptPtr& attempt);
-  // False: the attempt does not wait here.
+  // Returns false if the attempt was not waiting here.
   bool stop_waiting(const AttemptPtr& attempt);
-  // The attempt that waits under this id, which stops waiting; null: none does.
+  // Removes and returns the attempt that waits for this id, or returns null if there is none.
   AttemptPtr take_waiting(const std::string& request_id);
 
-  // ---- request ids whose query possibly ran
+  // ---- request ids whose query may have run
   void remember_possibly_ran(const std::string& request_id, Time until);
   [[nodiscard]] bool may_have_run(const std::string& request_id) const {
     return possibly_ran_until_.contains(request_id);
@@ -64,7 +69,7 @@
 
  private:
   struct Pending {
-    unsigned attempts = 0;  // how many the engines have yet to delete
+    unsigned attempts = 0;  // attempts whose queries the engines have not deleted yet
     AttemptPtr waiting;
   };
 
--- a/src/path/shard.cpp
+++ b/src/path/shard.cpp
@@ -54,7 +54,7 @@
       responses_(*this) {
   if (config.groups) selectors_ = std::make_shared<const groups::Selectors>(config.groups->selectors);
   tick_timer_ = environment_.create_timer([this] { tick(); });
-  tick_timer_->set(stall_detector_.last_turn() + kShardTickInterval);
+  tick_timer_->set(stall_detector_.last_run_at() + kShardTickInterval);
 }
 
 Shard::~Shard() {
@@ -129,7 +129,7 @@
   counts.attempts = attempts_.size();
   counts.idle_connections = pools_.idle_connection_count();
   counts.cancel_requests = cancel_requests_.size() + deletions_.size();
-  counts.last_turn = stall_detector_.last_turn();
+  counts.last_run_at = stall_detector_.last_run_at();
   counts.suspect_from = stall_detector_.suspect_from();
   counts.suspect_until = stall_detector_.suspect_until();
   return counts;
--- a/src/path/shard.hpp
+++ b/src/path/shard.hpp
@@ -156,7 +156,7 @@
   // For the explorer: what is remembered here of requests, and of stalls.
   struct Counts {
     std::size_t requests = 0, attempts = 0, idle_connections = 0, cancel_requests = 0;
-    Time last_turn{}, suspect_from{}, suspect_until{};  // of the stall detector
+    Time last_run_at{}, suspect_from{}, suspect_until{};  // of the stall detector
   };
   [[nodiscard]] Counts counts() const;
 
--- a/src/path/state_tables.cpp
+++ b/src/path/state_tables.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 template <class E, std::size_t N>
-std::string_view at(const std::array<std::string_view, N>& names, E value) {
+std::string_view name_at(const std::array<std::string_view, N>& names, E value) {
   return names.at(static_cast<std::size_t>(value));
 }
 using Names2 = std::array<std::string_view, 2>;
@@ -17,30 +17,32 @@
 }  // namespace
 
 std::string_view name_of(EngineConnectionState state) {
-  return at(Names6{"connecting", "starting_up", "idle", "busy", "cancelling", "closed"}, state);
+  return name_at(Names6{"connecting", "starting_up", "idle", "busy", "cancelling", "closed"}, state);
 }
 std::string_view name_of(EngineConnectionEvent event) {
-  return at(Names9{"connected", "ready", "statement_sent", "attempt_dropped", "cancel_sent",
-                   "statement_finished", "finished_unusable", "connection_lost", "closed_locally"},
-            event);
+  return name_at(Names9{"connected", "ready", "statement_sent", "attempt_dropped", "cancel_sent",
+                        "statement_finished", "finished_unusable", "connection_lost", "closed_locally"},
+                 event);
 }
 std::string_view name_of(ClientConnectionState state) {
-  return at(Names5{"reading", "finishing", "flushing", "lingering", "closed"}, state);
+  return name_at(Names5{"reading", "finishing", "flushing", "lingering", "closed"}, state);
 }
 std::string_view name_of(ClientConnectionEvent event) {
-  return at(Names5{"last_request", "last_response", "flushed", "connection_lost", "closed_locally"}, event);
+  return name_at(Names5{"last_request", "last_response", "flushed", "connection_lost", "closed_locally"},
+                 event);
 }
 std::string_view name_of(AttemptState state) {
-  return at(Names7{"created", "connecting", "statement_sent", "awaiting_permission", "streaming",
-                   "cancelling", "finished"},
-            state);
+  return name_at(Names7{"created", "connecting", "statement_sent", "awaiting_permission", "streaming",
+                        "cancelling", "finished"},
+                 state);
 }
 std::string_view name_of(AttemptEvent event) {
-  return at(Names6{"connect", "send_statement", "exceed_buffer", "allow_stream", "cancel", "finish"}, event);
+  return name_at(Names6{"connect", "send_statement", "exceed_buffer", "allow_stream", "cancel", "finish"},
+                 event);
 }
 std::string_view name_of(ResponseState state) {
-  return at(Names3{"pending", "streaming", "complete"}, state);
+  return name_at(Names3{"pending", "streaming", "complete"}, state);
 }
-std::string_view name_of(ResponseEvent event) { return at(Names2{"begin", "finish"}, event); }
+std::string_view name_of(ResponseEvent event) { return name_at(Names2{"begin", "finish"}, event); }
 
 }  // namespace heronwell::path
--- a/src/path/state_tables.hpp
+++ b/src/path/state_tables.hpp
@@ -1,9 +1,9 @@
-// The states of connections, attempts and responses, and every transition between them: one table each, from
-// which docs/path.md is drawn (`heronwell explore tables`). A state changes by apply() alone.
+// State machines of connections, attempts and responses. Each has one transition table, from which
+// docs/path.md is generated (`heronwell explore tables`). A state is changed only by apply().
 //
-// Failure guarded against: an event in a state that nobody thought of, after which a connection or attempt is
-// neither in use nor free. A pair that has no row in its table changes nothing, and apply() says so to its
-// caller.
+// The tables guard against an event in a state in which it is not expected, which could leave a connection or
+// attempt neither in use nor free. A pair of state and event without a row in the table changes nothing, and
+// apply() returns false.
 #pragma once
 
 #include <array>
@@ -17,42 +17,42 @@
 // ---- a connection to an engine ---------------------------------------------------------------------------
 enum class EngineConnectionState : std::uint8_t { connecting, starting_up, idle, busy, cancelling, closed };
 enum class EngineConnectionEvent : std::uint8_t {
-  connected,           // the stream is up
-  ready,               // ReadyForQuery of the start-up
-  statement_sent,      // first byte of a statement
-  attempt_dropped,     // its attempt is over before a byte was written: the start-up goes on, for another
-  cancel_sent,         // a cancel request goes out
-  statement_finished,  // ReadyForQuery after the statement
-  finished_unusable,   // the same, but it may serve no other: engine drained or moved, transaction left open
-  connection_lost,     // closed or reset by the engine, malformed, out of time
-  closed_locally,      // closed from here: engine drained, idle for too long, found unfit, shutdown
+  connected,           // the stream is established
+  ready,               // ReadyForQuery was received after the start-up
+  statement_sent,      // the first byte of a statement was written
+  attempt_dropped,     // the attempt ended before a byte was written; the start-up continues
+  cancel_sent,         // a cancel request is sent
+  statement_finished,  // ReadyForQuery was received after the statement
+  finished_unusable,   // the same, but not reusable: engine drained or moved, or transaction left open
+  connection_lost,     // closed or reset by the engine, malformed data received, or timed out
+  closed_locally,      // closed by the router: engine drained, idle for too long, unusable, or shutdown
 };
 
 // ---- a client's connection -------------------------------------------------------------------------------
 enum class ClientConnectionState : std::uint8_t {
-  reading,    // requests are read
-  finishing,  // no further one is; responses are pending
-  flushing,   // the last response is complete; bytes of it may wait
-  lingering,  // all is written and the end sent: what still comes is discarded
+  reading,    // reads requests
+  finishing,  // reads no further request; responses are pending
+  flushing,   // the last response is complete, but may not be completely written
+  lingering,  // everything is written and the writing side is shut down; input is discarded
   closed
 };
 enum class ClientConnectionEvent : std::uint8_t {
-  last_request,     // one that ends the connection, or a malformed one
-  last_response,    // the response after which nothing comes, or the end of a client without pending requests
-  flushed,          // all bytes of it are written
-  connection_lost,  // the client has gone, or reads nothing, or is reset from here
-  closed_locally,   // closed from here, nothing pending
+  last_request,     // a request that ends the connection, or a malformed one
+  last_response,    // the final response is complete, or a client without pending requests sent its end
+  flushed,          // all bytes of the last response are written
+  connection_lost,  // the client disconnected or does not read, or the router resets the connection
+  closed_locally,   // closed by the router while no response is pending, or on shutdown
 };
 
 // ---- an attempt ------------------------------------------------------------------------------------------
 enum class AttemptState : std::uint8_t {
-  created,              // commanded
-  connecting,           // a connection is opened for it
-  statement_sent,       // a byte of the statement went out
-  awaiting_permission,  // its response outgrew the buffer: the decision loop is asked, nothing is read
-  streaming,            // its response is on its way to the client
-  cancelling,           // to be stopped; its end is still to be reported
-  finished              // its end was reported, once
+  created,              // the decision loop has commanded it
+  connecting,           // a connection is being opened for it
+  statement_sent,       // at least one byte of the statement was written
+  awaiting_permission,  // its response exceeds the buffer; waits for permission to stream, reading is paused
+  streaming,            // its response is streamed to the client
+  cancelling,           // being cancelled; its end is not reported yet
+  finished              // its end was reported
 };
 enum class AttemptEvent : std::uint8_t {
   connect,
@@ -221,12 +221,12 @@
 std::string_view name_of(ResponseState state);
 std::string_view name_of(ResponseEvent event);
 
-// Hears of every transition, in the table or not; for the explorer's coverage and the tests. Null: nobody
-// listens.
+// Observes every call of apply(), whether or not the table contains the transition. Used for the explorer's
+// coverage and for tests; null if there is no observer.
 struct TransitionObserver {
   virtual ~TransitionObserver() = default;
   virtual void on_transition(std::string_view machine, std::string_view from, std::string_view event,
-                             std::string_view to) = 0;  // `to` empty: not in the table
+                             std::string_view to) = 0;  // `to` is empty if the table has no such transition
 };
 // NOLINTNEXTLINE(cppcoreguidelines-avoid-non-const-global-variables): set by explorer and tests
 inline thread_local TransitionObserver* transition_observer = nullptr;
@@ -238,7 +238,7 @@
   return std::nullopt;
 }
 
-// False: not in the table, and nothing changed.
+// Applies `event` to `state`. Returns false and changes nothing if the table has no such transition.
 template <class State, class Event>
 bool apply(State& state, Event event) {
   const auto to = next_state(state, event);
