--- a/src/path/client_connection.cpp
+++ b/src/path/client_connection.cpp
@@ -376,10 +376,10 @@
     close(ClientConnectionEvent::closed_locally);
 }
 
-void ClientConnection::close(ClientConnectionEvent why, bool reset) {
+void ClientConnection::close(ClientConnectionEvent event, bool reset) {
   if (closed()) return;
   const auto self = shared_from_this();
-  apply(state_, why);
+  apply(state_, event);
   stream_->close(reset);
   requests_.clear();
   drained_callbacks_.clear();
--- a/src/path/client_connection.hpp
+++ b/src/path/client_connection.hpp
@@ -75,7 +75,7 @@
   void drop_pending_requests();
   void notify_drained();
   void begin_linger();
-  void close(ClientConnectionEvent why, bool reset = false);
+  void close(ClientConnectionEvent event, bool reset = false);
 
   Shard& shard_;
   std::uint64_t number_;
--- a/src/path/engine_connection.cpp
+++ b/src/path/engine_connection.cpp
@@ -90,12 +90,12 @@
   apply(state_, EngineConnectionEvent::ready);
   auto attempt = std::exchange(attempt_, nullptr);
   auto* pool = shard_.pool(engine_);
-  const bool fit = pool != nullptr && pool->accepts_work && pool->address == address_;
-  if (attempt && (attempt->response_unwanted() || !fit || attempt->deadline <= shard_.now())) {
+  const bool usable = pool != nullptr && pool->accepts_work && pool->address == address_;
+  if (attempt && (attempt->response_unwanted() || !usable || attempt->deadline <= shard_.now())) {
     shard_.end_attempt(attempt, sql::StatementResult::not_written);
     attempt = nullptr;
   }
-  if (!fit) return close_unused();
+  if (!usable) return close_unused();
   if (attempt) {
     if (!start(attempt)) shard_.end_attempt(attempt, sql::StatementResult::not_connected);
     return;
@@ -147,17 +147,17 @@
   close(EngineConnectionEvent::connection_lost);
 }
 
-void EngineConnection::end_attempt(sql::StatementResult seen, std::string_view code) {
+void EngineConnection::end_attempt(sql::StatementResult result, std::string_view code) {
   if (auto attempt = std::exchange(attempt_, nullptr))
-    shard_.end_attempt(attempt, seen, code, session_.was_cancelled());
+    shard_.end_attempt(attempt, result, code, session_.was_cancelled());
 }
 
 void EngineConnection::close_unused() { close(EngineConnectionEvent::closed_locally); }
 
-void EngineConnection::close(EngineConnectionEvent why) {
+void EngineConnection::close(EngineConnectionEvent event) {
   if (state_ == EngineConnectionState::closed) return;
   const auto self = shared_from_this();
-  apply(state_, why);
+  apply(state_, event);
   if (auto* pool = shard_.pool(engine_)) pool->remove(number_, self);
   if (session_.reusable() && write_buffer_.empty()) {
     std::string terminate;
--- a/src/path/engine_connection.hpp
+++ b/src/path/engine_connection.hpp
@@ -43,7 +43,7 @@
   void parse();
   void on_startup_complete();
   void fail();
-  void end_attempt(sql::StatementResult seen, std::string_view code = {});
+  void end_attempt(sql::StatementResult result, std::string_view code = {});
   bool flush();  // returns false if the connection can't be written to any more
   // One timer is used for connecting and start-up, and later for the end of a cancelled statement.
   void set_timeout(Time duration);
@@ -52,7 +52,7 @@
   void pause_if_buffer_full();
   void reject_oversized_response();
   void resume_reading();
-  void close(EngineConnectionEvent why);
+  void close(EngineConnectionEvent event);
 
   void on_columns(const std::vector<sql::Column>& columns) override;
   void on_row(sql::RowReader row) override;
--- a/src/path/frame_client_connection.cpp
+++ b/src/path/frame_client_connection.cpp
@@ -311,10 +311,10 @@
                    last_active_at_, state_ != ClientConnectionState::reading};
 }
 
-void FrameClientConnection::close(ClientConnectionEvent reason, bool reset) {
+void FrameClientConnection::close(ClientConnectionEvent event, bool reset) {
   if (closed()) return;
   const auto self = shared_from_this();
-  apply(state_, reason);
+  apply(state_, event);
   account_buffered();
   stream_->close(reset);
   shard_.remove_client(number_);
--- a/src/path/frame_client_connection.hpp
+++ b/src/path/frame_client_connection.hpp
@@ -64,7 +64,7 @@
   void write_buffered();
   void write_out();
   void account_buffered();  // reports the number of buffered bytes to the shard
-  void close(ClientConnectionEvent reason, bool reset = false);
+  void close(ClientConnectionEvent event, bool reset = false);
 
   Shard& shard_;
   std::uint64_t number_;
--- a/src/path/query_call_connection.cpp
+++ b/src/path/query_call_connection.cpp
@@ -102,8 +102,8 @@
   stream_->set_reading(true);
   idle_since_ = shard_.now();
   auto* pool = shard_.pool(engine_);
-  const bool known = pool != nullptr && pool->address == address_;
-  const bool fit = known && pool->accepts_work;
+  const bool same_address = pool != nullptr && pool->address == address_;
+  const bool usable = same_address && pool->accepts_work;
   auto attempt = std::exchange(attempt_, nullptr);
   if (attempt && opened_to_start_) {
     --attempt->pending_connections;
@@ -114,11 +114,11 @@
   // While the connection was being established, the engine may have started to drain, the client may have
   // disconnected, or the deadline may have passed. A query that is already started is still polled, because a
   // poll starts no work.
-  if (attempt && !started && (attempt->response_unwanted() || !fit || !shard_.may_start(*attempt))) {
+  if (attempt && !started && (attempt->response_unwanted() || !usable || !shard_.may_start(*attempt))) {
     shard_.end_attempt(attempt, calls::attempt_result_of(calls::CallResult::not_written));
     attempt = nullptr;
   }
-  if (!attempt && !fit) return close_unused();
+  if (!attempt && !usable) return close_unused();
   if (!attempt) return pool->idle.push_back(shared_from_this());
   if (!started && shard_.defer_until_input_read(attempt)) return pool->idle.push_back(shared_from_this());
   if (start(attempt)) return;
@@ -342,10 +342,10 @@
   if (connecting && failure == Failure::broken && !attempt->response_unwanted() &&
       attempt->deadline > shard_.now() && ++attempt->reconnects <= kMaxReconnects)
     return shard_.resume_polling(attempt);
-  const auto seen =
+  const auto result =
       attempt->response_unwanted() ? calls::CallResult::not_written : calls::CallResult::not_connected;
   const bool health_check_cut = attempt->ticket == 0 && !connecting;
-  shard_.end_attempt(attempt, health_check_cut ? AttemptResult::reset : calls::attempt_result_of(seen));
+  shard_.end_attempt(attempt, health_check_cut ? AttemptResult::reset : calls::attempt_result_of(result));
 }
 
 // Polls the query on another connection, because it may still be running: until its deadline if the engine
@@ -366,15 +366,15 @@
 
 void QueryCallConnection::close_unused() { close(EngineConnectionEvent::closed_locally); }
 
-void QueryCallConnection::close(EngineConnectionEvent why) {
+void QueryCallConnection::close(EngineConnectionEvent event) {
   if (state_ == EngineConnectionState::closed) return;
   const auto self = shared_from_this();
   // A connection with a call in flight is reset, which discards data that is not delivered yet. Otherwise the
   // call could remain in the buffers of the operating system, arrive late, and start or poll a query that the
   // router considers finished.
   const bool call_in_flight =
-      state_ == EngineConnectionState::busy && why != EngineConnectionEvent::finished_unusable;
-  apply(state_, why);
+      state_ == EngineConnectionState::busy && event != EngineConnectionEvent::finished_unusable;
+  apply(state_, event);
   if (auto* pool = shard_.pool(engine_)) pool->remove(number_, self);
   stream_->close(call_in_flight);
   timer_->cancel();
--- a/src/path/query_call_connection.hpp
+++ b/src/path/query_call_connection.hpp
@@ -56,7 +56,7 @@
   void fail(Failure failure);
   void fail_before_start(const AttemptPtr& attempt, Failure failure, bool connecting);
   void fail_after_start(const AttemptPtr& attempt, Failure failure);
-  void close(EngineConnectionEvent why);
+  void close(EngineConnectionEvent event);
   void on_timeout();
   void set_timeout(Time duration) { timer_->set(shard_.now() + duration); }
 
