--- a/src/bench/simulator_adapter.cpp
+++ b/src/bench/simulator_adapter.cpp
@@ -74,8 +74,8 @@
     std::vector<Action> actions;
     found->second.handle(now, events, actions);
     if (actions.empty()) return;
-    reply.instance(id);
-    for (const auto& action : actions) reply.action(action);
+    reply.begin_instance(id);
+    for (const auto& action : actions) reply.add_action(action);
   }
 
   std::map<std::uint32_t, DecisionEngine> engines_;
--- a/src/bench/simulator_codec.cpp
+++ b/src/bench/simulator_codec.cpp
@@ -361,13 +361,13 @@
   return update;
 }
 
-void ReplyWriter::instance(std::uint32_t id) {
+void ReplyWriter::begin_instance(std::uint32_t id) {
   body_.push_back(reply_instance);
   put(body_, id);
   ++records_;
 }
 
-void ReplyWriter::action(const Action& action) {
+void ReplyWriter::add_action(const Action& action) {
   std::visit(ActionWriter{body_}, action);
   ++records_;
 }
--- a/src/bench/simulator_codec.hpp
+++ b/src/bench/simulator_codec.hpp
@@ -75,8 +75,8 @@
 // Collects the actions of one batch's instances into its reply.
 class ReplyWriter {
  public:
-  void instance(std::uint32_t id);  // the actions that follow are of this one
-  void action(const Action& action);
+  void begin_instance(std::uint32_t id);  // the actions that follow are of this one
+  void add_action(const Action& action);
   [[nodiscard]] std::vector<std::uint8_t> finish(std::uint32_t sequence);
 
  private:
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -37,7 +37,7 @@
   std::optional<std::uint64_t> seed;  // of the random numbers in decisions; none: drawn at the start
   unsigned threads = 1;               // shards, each with a thread of its own
   Settings module;                    // of the decision engine
-  router::Names names;                // of zones and machine types, by number
+  router::ConfiguredNames names;      // of zones and machine types, by number
 
   // Client connections. Sizes in bytes.
   struct Listen {
--- a/src/config/effective_config.cpp
+++ b/src/config/effective_config.cpp
@@ -130,7 +130,7 @@
   print_groups(out, config.groups);
   print_trace(out, config.trace);
   print_log(out, config.log);
-  return out + router::effective(config.module, config.names);
+  return out + router::effective_settings_yaml(config.module, config.names);
 }
 
 }  // namespace heronwell::config
--- a/src/path/decision_loop.cpp
+++ b/src/path/decision_loop.cpp
@@ -29,7 +29,7 @@
       endpoints_(config.names.zones, config.names.machine_types, environment.unix_offset()),
       shard_commands_(shard_count) {
   if (config.groups) schedules_ = config.groups->schedules;
-  registry_.collect_load_beliefs(!config_.trace.file.empty());
+  registry_.collect_load_snapshots(!config_.trace.file.empty());
 }
 
 void DecisionLoop::receive(const std::vector<TimedEvent>& events) {
--- a/src/path/response_delivery.cpp
+++ b/src/path/response_delivery.cpp
@@ -93,7 +93,7 @@
   const auto request = shard_.find_request(command.ticket);
   if (!request) return;
   shard_.forget_request(request);
-  trace_decision(shard_, *request, command.load_belief, 0);
+  trace_decision(shard_, *request, command.load_snapshot, 0);
   request->limit = command.limit;
   auto problem = router::problem_of(command);
   if (command.limit != groups::Limit::none) problem.detail += ", group " + request->group;
@@ -131,7 +131,7 @@
   trace_end(shard_, *request, end, status);
   const auto& config = shard_.config();
   const auto duration = shard_.now() - request->received_at;
-  const bool good = end.who == 'S' || end.who == 'E';
+  const bool good = end.cause == 'S' || end.cause == 'E';
   if (good)
     shard_.metrics().classes[request->class_index].seconds->Observe(
         std::chrono::duration<double>(duration).count());
--- a/src/path/shard.cpp
+++ b/src/path/shard.cpp
@@ -177,7 +177,7 @@
   if (!chosen.group.empty()) {
     request->group = std::move(chosen.group);
     spec.group = request->group;
-    spec.group_created = chosen.made;
+    spec.may_create_group = chosen.made;
     return true;
   }
   router::Problem problem;
@@ -250,7 +250,7 @@
   // Its client has disconnected while the command was on its way.
   if (!request) return end_attempt(attempt, sql::StatementResult::not_written);
   ++request->attempts;
-  trace_decision(*this, *request, command.load_belief, command.engine);
+  trace_decision(*this, *request, command.load_snapshot, command.engine);
   request->engine = command.engine;
   attempts_.emplace(std::pair(command.ticket, command.attempt), attempt);
   if (deletions_.wait(attempt)) return;  // never two queries of one request id at an engine
--- a/src/path/tracing.cpp
+++ b/src/path/tracing.cpp
@@ -26,7 +26,7 @@
 }
 
 void trace_decision(const Shard& shard, ClientRequest& client_request,
-                    const std::optional<router::LoadBelief>& belief, EngineId engine) {
+                    const std::optional<router::LoadSnapshot>& belief, EngineId engine) {
   auto* trail = client_request.trail.get();
   if (trail == nullptr) return;
   const auto now = shard.now();
@@ -80,7 +80,7 @@
   const auto now = shard.now();
   const bool submitted = client_request.ticket != 0;
   const auto& cls = shard.config().module.classes[client_request.class_index];
-  const bool good = end.who == 'S' || end.who == 'E' || end.who == 'B';
+  const bool good = end.cause == 'S' || end.cause == 'E' || end.cause == 'B';
   if (!good || client_request.attempts > 1 ||
       (submitted && now - client_request.received_at > cls.latency_objective))
     trail->trouble = true;
--- a/src/path/tracing.hpp
+++ b/src/path/tracing.hpp
@@ -14,7 +14,7 @@
 
 void trace_begin(Shard& shard, ClientRequest& client_request, const http::Parser& request);
 void trace_decision(const Shard& shard, ClientRequest& client_request,
-                    const std::optional<router::LoadBelief>& belief, EngineId engine);
+                    const std::optional<router::LoadSnapshot>& belief, EngineId engine);
 void trace_attempt(Time now, const Attempt& attempt, AttemptResult result, std::string_view code,
                    bool cancelled);
 // The request has ended: its trail is handed to the tracer, or, of a statement, gets its span.
--- a/src/rehearsal/plan.hpp
+++ b/src/rehearsal/plan.hpp
@@ -88,7 +88,7 @@
   RelayFaults relay;   // of relays between routers and engines; none if all are 0
   std::string router;  // YAML of the router's settings
   Settings settings;   // as read from it
-  router::Names names;
+  router::ConfiguredNames names;
   std::vector<ClassLoad> loads;  // by class
   std::vector<double> tenants;   // weights
   // Plans of resource groups by name, as YAML; the first is in force unless a trouble says otherwise.
--- a/src/router/commands.hpp
+++ b/src/router/commands.hpp
@@ -19,8 +19,8 @@
 using Ticket = std::uint64_t;
 
 // What the decision engine and the registry believed about load when an attempt was placed or a request
-// ended. It serves traces alone and is collected only after RequestRegistry::collect_load_beliefs(true).
-struct LoadBelief {
+// ended. It serves traces alone and is collected only after RequestRegistry::collect_load_snapshots(true).
+struct LoadSnapshot {
   ClassView class_view;     // the request's class
   double pool_threads = 0;  // capacity that this router counts on, in threads
   unsigned engine_threads =
@@ -36,7 +36,7 @@
   EngineId engine = 0;
   Time deadline{};                        // clock time; the registry ends the attempt itself when it passes
   std::optional<SetResources> resources;  // memory (MB) and priority granted; none: the engine's own defaults
-  std::optional<LoadBelief> load_belief;
+  std::optional<LoadSnapshot> load_snapshot;
   Time start_before = Time::max();  // clock time after which the attempt must not be started any more
 };
 
@@ -81,7 +81,7 @@
   AttemptResult last_result = AttemptResult::never_started;  // of its last attempt
   unsigned attempts = 0;
   bool provably_never_ran = true;  // no attempt can have run
-  std::optional<LoadBelief> load_belief;
+  std::optional<LoadSnapshot> load_snapshot;
   groups::Limit limit = groups::Limit::none;  // of its resource group, where that ended it
 };
 
--- a/src/router/request_registry.cpp
+++ b/src/router/request_registry.cpp
@@ -101,7 +101,7 @@
   if (!groups_) return groups::Limit::none;
   observe_group_load(now);
   const auto& request = spec.request;
-  return groups_->enter(id, spec.group, spec.group_created,
+  return groups_->enter(id, spec.group, spec.may_create_group,
                         {request.class_index, request.estimated_memory_mb, request.estimated_work});
 }
 
@@ -301,8 +301,8 @@
 }
 
 void RequestRegistry::decide(Time now, std::vector<Command>& out) {
-  ++counters_.ticks;
-  counters_.events += events_.size();
+  ++counters_.decision_engine_calls;
+  counters_.decision_engine_events += events_.size();
   actions_.clear();
   decision_engine_.handle(now, events_, actions_);
   events_.clear();
@@ -377,7 +377,7 @@
   command.limit = answer.limit;
   command.attempts = static_cast<unsigned>(request.attempts.size());
   command.provably_never_ran = provably_never_ran(request);
-  command.load_belief = load_belief(request, 0);
+  command.load_snapshot = load_snapshot(request, 0);
   if (!request.attempts.empty()) {
     const auto& last = request.attempts.back();
     command.last_result = last.ended ? last.result : AttemptResult::timed_out;
@@ -402,15 +402,15 @@
   }
 }
 
-std::optional<LoadBelief> RequestRegistry::load_belief(const Request& request, EngineId engine) const {
-  if (!collect_load_beliefs_) return std::nullopt;
-  LoadBelief belief;
-  belief.class_view = decision_engine_.class_view(request.class_index);
-  belief.pool_threads = decision_engine_.pool_threads();
+std::optional<LoadSnapshot> RequestRegistry::load_snapshot(const Request& request, EngineId engine) const {
+  if (!collect_load_snapshots_) return std::nullopt;
+  LoadSnapshot snapshot;
+  snapshot.class_view = decision_engine_.class_view(request.class_index);
+  snapshot.pool_threads = decision_engine_.pool_threads();
   const auto found = threads_in_flight_.find(engine);
-  belief.engine_threads = found == threads_in_flight_.end() ? 0 : found->second;
-  belief.engines_in_use = static_cast<unsigned>(threads_in_flight_.size());
-  return belief;
+  snapshot.engine_threads = found == threads_in_flight_.end() ? 0 : found->second;
+  snapshot.engines_in_use = static_cast<unsigned>(threads_in_flight_.size());
+  return snapshot;
 }
 
 // ---- the decision engine's actions --------------------------------------------------------------------
@@ -421,7 +421,7 @@
   const auto index = request.attempts.size();
   const auto deadline = std::min(action.deadline, request.deadline);
   request.attempts.push_back({action.engine, now, deadline});
-  auto belief = load_belief(request, action.engine);
+  auto snapshot = load_snapshot(request, action.engine);
   threads_in_flight_[action.engine] += settings_.classes[request.class_index].threads;
   // The decision engine does not hear that a response has begun to be streamed and may want another attempt
   // beside it, and the deadline may have passed while it decided. Such an attempt never leaves this process.
@@ -435,7 +435,7 @@
   ++counters_.attempts_started;
   if (index > 0) ++counters_.retries;
   out.emplace_back(DispatchAttempt{request.ticket, static_cast<AttemptIndex>(index), action.engine, deadline,
-                                   request.resources, belief, action.start_before});
+                                   request.resources, snapshot, action.start_before});
 }
 
 void RequestRegistry::execute(Time, const CancelAttempt& action, std::vector<Command>& out) {
--- a/src/router/request_registry.hpp
+++ b/src/router/request_registry.hpp
@@ -51,7 +51,7 @@
   // Only with resource groups: the path of its group, and whether a template named it, so that it may be
   // created.
   std::string group;
-  bool group_created = false;
+  bool may_create_group = false;
 };
 
 // The end of an attempt, as its connection saw it.
@@ -92,7 +92,7 @@
   std::uint64_t attempts_started = 0, retries = 0, cancellations = 0;
   std::uint64_t health_checks = 0;
   // Of the decision engine: calls, and events given to it.
-  std::uint64_t ticks = 0, events = 0;
+  std::uint64_t decision_engine_calls = 0, decision_engine_events = 0;
 };
 
 class RequestRegistry {
@@ -126,7 +126,7 @@
   // Clock time at which run() must be called if nothing happens before; a time in the past means at once.
   [[nodiscard]] Time next_due() const;
 
-  void collect_load_beliefs(bool on) { collect_load_beliefs_ = on; }
+  void collect_load_snapshots(bool on) { collect_load_snapshots_ = on; }
   [[nodiscard]] std::size_t open_count() const { return open_; }  // requests without a final answer
   [[nodiscard]] std::size_t remembered_count() const { return requests_.size(); }  // those whose id is in use
   [[nodiscard]] const Counters& counters() const { return counters_; }
@@ -176,7 +176,7 @@
   void finish(Request& request, const FinalAnswer& answer, std::vector<Command>& out);
   void finish_by_group_limit(Request& request, FinalStatus status, groups::Limit limit);
   void count_final(FinalStatus status);
-  [[nodiscard]] std::optional<LoadBelief> load_belief(const Request& request, EngineId engine) const;
+  [[nodiscard]] std::optional<LoadSnapshot> load_snapshot(const Request& request, EngineId engine) const;
 
   // ---- the parts of run()
   void observe_group_load(Time now);
@@ -218,7 +218,7 @@
   std::vector<RequestId> finish_candidates_;  // to be looked at by forget_finished()
   std::size_t open_ = 0;
   Time group_gossip_sent_at_{};
-  bool collect_load_beliefs_ = false;
+  bool collect_load_snapshots_ = false;
   std::map<EngineId, unsigned> threads_in_flight_;  // of this router, on each engine that has any
   Counters counters_;
 };
--- a/src/router/settings_reader.cpp
+++ b/src/router/settings_reader.cpp
@@ -44,7 +44,7 @@
   return value;
 }
 
-ClassSettings read_class(const std::string& name, yaml::Section& section, const Names& names) {
+ClassSettings read_class(const std::string& name, yaml::Section& section, const ConfiguredNames& names) {
   ClassSettings cls;
   cls.name = name;
   cls.latency_objective = section.duration("aim");
@@ -71,7 +71,7 @@
   return cls;
 }
 
-void read_router(yaml::Section& file, const Names& names, Settings& s) {
+void read_router(yaml::Section& file, const ConfiguredNames& names, Settings& s) {
   auto section = file.section("gateway");
   s.router_count = static_cast<unsigned>(section.count("of", 1, 1, 100'000));
   s.router_index = static_cast<unsigned>(section.count("number", 0, 0, 100'000));
@@ -155,8 +155,8 @@
 
 }  // namespace
 
-Names read_names(yaml::Section& file) {
-  Names names;
+ConfiguredNames read_names(yaml::Section& file) {
+  ConfiguredNames names;
   names.zones = file.strings("zones");
   if (names.zones.empty()) names.zones.emplace_back();  // one zone without a name
   for (const auto& [name, section] : file.named("kinds")) names.machine_types.push_back(name);
@@ -211,7 +211,7 @@
                    yaml::size_text(static_cast<std::uint64_t>(one.memory_mb * (1 << 20))));
 }
 
-void put_class(Out out, const ClassSettings& cls, const Names& names) {
+void put_class(Out out, const ClassSettings& cls, const ConfiguredNames& names) {
   fmt::format_to(
       out,
       "  {}:\n    aim: {}\n    aim_stretch: {}\n    give_up: {}\n    worth: {}\n    late_share: {}\n"
@@ -272,7 +272,7 @@
 
 }  // namespace
 
-std::string effective(const Settings& s, const Names& names) {
+std::string effective_settings_yaml(const Settings& s, const ConfiguredNames& names) {
   std::string out;
   const auto to = std::back_inserter(out);
   std::vector<std::uint16_t> all_zones(names.zones.size());
--- a/src/router/settings_reader.hpp
+++ b/src/router/settings_reader.hpp
@@ -20,12 +20,12 @@
 std::vector<std::string> tenant_names(const Settings& settings);
 
 // Names of zones and machine types in the order of their numbers.
-struct Names {
+struct ConfiguredNames {
   std::vector<std::string> zones, machine_types;
 };
-Names read_names(yaml::Section& file);
+ConfiguredNames read_names(yaml::Section& file);
 
 // All settings in force, as YAML that read_settings() reads to the same.
-std::string effective(const Settings& settings, const Names& names);
+std::string effective_settings_yaml(const Settings& settings, const ConfiguredNames& names);
 
 }  // namespace heronwell::router
--- a/src/router/termination.hpp
+++ b/src/router/termination.hpp
@@ -12,8 +12,8 @@
 namespace heronwell::router {
 
 struct Termination {
-  char who = '-', when = '-';
-  [[nodiscard]] std::string text() const { return {who, when}; }
+  char cause = '-', phase = '-';
+  [[nodiscard]] std::string text() const { return {cause, phase}; }
 };
 
 }  // namespace heronwell::router
--- a/tests/decision/simulator_codec_test.cpp
+++ b/tests/decision/simulator_codec_test.cpp
@@ -170,8 +170,8 @@
 
 TEST(Wire, WritesWhatThePageShows) {
   ReplyWriter writer;
-  writer.instance(3);
-  writer.action(StartAttempt{0x5d3a91c4, 0x03124a07, Time(0x01fa2d7390)});
+  writer.begin_instance(3);
+  writer.add_action(StartAttempt{0x5d3a91c4, 0x03124a07, Time(0x01fa2d7390)});
   EXPECT_EQ(writer.finish(12), hex("22000000"
                                    "02000000"
                                    "0c000000"
