--- a/src/router/commands.hpp
+++ b/src/router/commands.hpp
@@ -1,7 +1,7 @@
-// The commands of the request registry: the closed set of things that its caller (the shard in src/path, the
-// emulator, a test) is asked to do. They are carried out in the order in which they are given. Each names its
-// request by the ticket that the caller chose; a command whose request or attempt is unknown to the caller,
-// because it ended in the meantime, is ignored, and its end reaches the registry as any other end does.
+// Defines the commands that the request registry returns to its caller (the shard in src/path, the emulator
+// or a test). The caller executes them in the order in which they were returned. A command identifies its
+// request by the ticket that the caller chose. The caller ignores a command whose request or attempt has
+// ended in the meantime; it reports that end to the registry like any other.
 #pragma once
 
 #include <cstdint>
@@ -14,96 +14,99 @@
 
 namespace heronwell::router {
 
-// Names a request for as long as the process lives. The caller that submits the request chooses it and never
-// uses it again.
+// Identifies a request. The caller that submits the request chooses the ticket and never reuses it during the
+// lifetime of the process.
 using Ticket = std::uint64_t;
 
-// What the decision engine and the registry believed about load when an attempt was placed or a request
-// ended. It serves traces alone and is collected only after RequestRegistry::collect_load_snapshots(true).
+// The load as the decision engine and the registry estimated it when an attempt was started or a request
+// ended. Only traces use it, and it is collected only after RequestRegistry::collect_load_snapshots(true).
 struct LoadSnapshot {
-  ClassView class_view;     // the request's class
-  double pool_threads = 0;  // capacity that this router counts on, in threads
-  unsigned engine_threads =
-      0;  // threads that this router has in flight on the engine; 0 when no engine is named
-  unsigned engines_in_use = 0;  // engines on which this router has threads in flight
+  ClassView class_view;     // view of the request's class
+  double pool_threads = 0;  // estimated capacity available to this router, in threads
+  // Threads that this router has in flight on the engine of the attempt; 0 in FinishRequest.
+  unsigned engine_threads = 0;
+  unsigned engines_in_use = 0;  // number of engines on which this router has threads in flight
 };
 
-// Start this attempt on this engine. The caller reports its end with attempt_finished(), whatever the end is;
-// an attempt that could not be started ends as `not_connected` or `never_started`.
+// Starts an attempt on an engine. The caller reports the end of the attempt with attempt_finished(), whatever
+// its result; an attempt that could not be started ends as `not_connected` or `never_started`.
 struct DispatchAttempt {
   Ticket ticket = 0;
-  AttemptIndex attempt = 0;  // numbers the attempts of a request from 0
+  AttemptIndex attempt = 0;  // index among the request's attempts, from 0
   EngineId engine = 0;
-  Time deadline{};                        // clock time; the registry ends the attempt itself when it passes
-  std::optional<SetResources> resources;  // memory (MB) and priority granted; none: the engine's own defaults
+  Time deadline{};  // clock time at which the registry times out the attempt
+  // Granted memory (MB) and priority; if absent, the engine uses its defaults.
+  std::optional<SetResources> resources;
   std::optional<LoadSnapshot> load_snapshot;
-  Time start_before = Time::max();  // clock time after which the attempt must not be started any more
+  Time start_before = Time::max();  // clock time after which the attempt must not be started
 };
 
-// Cancel this attempt at its engine, or drop it while its connection is still being opened. Its end is
-// reported all the same, as `cancelled` or as what it was when the cancel request came too late.
+// Cancels an attempt at its engine, or drops it if its connection is still being opened. The caller still
+// reports the end of the attempt: as `cancelled`, or with its actual result if the cancel request came too
+// late.
 struct StopAttempt {
   Ticket ticket = 0;
   AttemptIndex attempt = 0;
 };
 
-// The complete response of this attempt is the final one: send it, or send its last bytes if it was being
-// streamed.
+// Delivers the complete response of an attempt to the client as the final response. If the response is being
+// streamed, only its last bytes remain to be sent.
 struct DeliverResponse {
   Ticket ticket = 0;
   AttemptIndex attempt = 0;
 };
 
-// The response of this attempt, not complete yet, is the final one: begin to send it. No time-out runs from
-// here on.
+// Begins to send the response of an attempt, which is not complete yet, as the final response. No timeout
+// applies to the request any more.
 struct BeginStream {
   Ticket ticket = 0;
   AttemptIndex attempt = 0;
 };
 
-// The engine was lost in the middle of a streamed response: end it in a way that no client takes for a
-// complete one.
+// Aborts a streamed response because its attempt failed. The response must end in a way that a client cannot
+// mistake for a complete response.
 struct AbortStream {
   Ticket ticket = 0;
 };
 
 enum class FinalStatus {
-  rejected,          // it did not run, or running it again does no harm
-  failed,            // nothing is promised about its effect
-  deadline_exceeded  // the registry's own last resort: the decision engine left it open past its deadline
+  rejected,          // the request did not run, or repeating it does no harm
+  failed,            // the request may or may not have taken effect
+  deadline_exceeded  // fallback of the registry: the decision engine left the request open past its deadline
 };
 
-// Answer this request without a result.
+// Ends a request without a result; the caller sends an error response to the client.
 struct FinishRequest {
   Ticket ticket = 0;
   FinalStatus status = FinalStatus::failed;
-  Time retry_after{};  // of a rejected request, as a span; zero: no advice
-  AttemptResult last_result = AttemptResult::never_started;  // of its last attempt
-  unsigned attempts = 0;
-  bool provably_never_ran = true;  // no attempt can have run
+  Time retry_after{};  // duration, for a rejected request; zero: no advice
+  AttemptResult last_result = AttemptResult::never_started;  // result of the last attempt
+  unsigned attempts = 0;                                     // number of attempts
+  bool provably_never_ran = true;                            // whether no attempt can have run
   std::optional<LoadSnapshot> load_snapshot;
-  groups::Limit limit = groups::Limit::none;  // of its resource group, where that ended it
+  groups::Limit limit = groups::Limit::none;  // limit of the resource group that ended the request, if any
 };
 
-// Check this engine's health; the outcome is reported with health_check_finished(), failures included.
+// Runs a health check of an engine. The caller reports the result with health_check_finished(), also if the
+// check failed.
 struct RunHealthCheck {
   EngineId engine = 0;
 };
 
-// Send these bytes (256 at most) to one router, or to all others. Delivery is not guaranteed and nothing is
-// reported.
+// Sends these bytes (256 at most) to one other router or to all of them. Delivery is not guaranteed, and the
+// caller does not report the outcome.
 struct ForwardGossip {
-  std::optional<std::uint32_t> to_router;
+  std::optional<std::uint32_t> to_router;  // index of the router; none: all other routers
   std::string bytes;
 };
 
-// Turn watching of the endpoint list on or off. heronwell's own daemon watches its source from the start and
-// ignores this.
+// Turns watching of the endpoint list on or off. The heronwell daemon watches its source from startup and
+// ignores this command.
 struct SetEndpointWatch {
   bool enabled = true;
 };
 
-// Write this text to the log.
+// Writes a text to the log.
 struct WriteLogLine {
   std::string text;
 };
--- a/src/router/json_rows.cpp
+++ b/src/router/json_rows.cpp
@@ -5,7 +5,7 @@
 namespace heronwell::router {
 namespace {
 
-constexpr std::uint32_t kBoolType = 16;  // PostgreSQL's type number (pg_type.oid) of bool
+constexpr std::uint32_t kBoolType = 16;  // PostgreSQL's type OID (pg_type.oid) of bool
 
 }  // namespace
 
@@ -53,7 +53,7 @@
 }
 
 void JsonRows::complete(std::string& out, std::string_view tag) {
-  if (!result_open_) {  // a command without rows, such as UPDATE
+  if (!result_open_) {  // the command returns no rows, such as UPDATE
     open_result(out);
     out += R"("columns":[],"rows":[)";
   }
--- a/src/router/json_rows.hpp
+++ b/src/router/json_rows.hpp
@@ -1,7 +1,8 @@
-// Rows of an engine as a JSON object: {"columns": [...], "rows": [[...], ...], "command": "SELECT 2"}, and a
-// statement's further results under "more". Written piece by piece, so that an answer of any size can be
-// passed on with bounded memory. int2, int4, int8, float4, float8 and oid become numbers, bool true or false,
-// NULL null, all else text as the engine wrote it.
+// Writes an engine's rows as a JSON object: {"columns": [...], "rows": [[...], ...], "command": "SELECT 2"}.
+// If a statement has several results, those after the first are listed under "more". The object is written
+// piece by piece, so that a response of any size can be forwarded with bounded memory. Values of the types
+// int2, int4, int8, float4, float8 and oid become JSON numbers, bool becomes true or false, NULL becomes
+// null, and every other value becomes a string with the text that the engine sent.
 #pragma once
 
 #include <cstdint>
@@ -13,15 +14,16 @@
 
 namespace heronwell::router {
 
-// Calls in the order of an engine's messages: for each result columns(), row() for each row, complete(); then
-// finish(). Each appends to `out`.
+// Appends JSON to `out` with each call. The calls follow the order of the engine's messages: for each result
+// columns(), then row() for each row, then complete(). A result without rows, such as that of an UPDATE,
+// needs only complete(). finish() comes after the last result.
 class JsonRows {
  public:
   void columns(std::string& out, const std::vector<sql::Column>& columns);
-  [[nodiscard]] bool row(std::string& out,
-                         sql::RowReader row);             // false: malformed, and `out` is no use any more
-  void complete(std::string& out, std::string_view tag);  // `tag`: the command, such as "SELECT 2"
-  void finish(std::string& out);                          // after the last result
+  // Returns false if the row is malformed; the contents of `out` are then unusable.
+  [[nodiscard]] bool row(std::string& out, sql::RowReader row);
+  void complete(std::string& out, std::string_view tag);  // `tag`: the command tag, such as "SELECT 2"
+  void finish(std::string& out);
 
  private:
   void open_result(std::string& out);
--- a/src/router/problem_details.cpp
+++ b/src/router/problem_details.cpp
@@ -12,36 +12,36 @@
 namespace {
 
 struct Explanation {
-  int status = 0;
+  int status = 0;  // HTTP status
   std::string_view detail;
 };
 
-// HTTP status and text of a request that the decision engine ended.
-Explanation explanation_of_status(const FinishRequest& answer) {
-  if (answer.status == FinalStatus::rejected) return {503, "not run; the engines are busy or out of reach"};
+// Returns the HTTP status and text that follow from the final status of the request.
+Explanation explanation_of_status(const FinishRequest& command) {
+  if (command.status == FinalStatus::rejected) return {503, "not run; the engines are busy or out of reach"};
   const bool timed_out =
-      answer.status == FinalStatus::deadline_exceeded || answer.last_result == AttemptResult::timed_out;
+      command.status == FinalStatus::deadline_exceeded || command.last_result == AttemptResult::timed_out;
   const int status = timed_out ? 504 : 502;
-  if (answer.provably_never_ran) return {status, "no answer in time; it has not run"};
+  if (command.provably_never_ran) return {status, "no answer in time; it has not run"};
   return {status, timed_out ? "no answer in time; it may have run"
                             : "the engine was lost or failed; it may have run"};
 }
 
-// HTTP status and text of a request that a limit of its resource group ended; `otherwise` is
-// what holds where the limit says nothing.
-Explanation explanation_of_limit(groups::Limit limit, Explanation otherwise) {
+// Returns the HTTP status and text for a request that a limit of its resource group ended. `fallback` is
+// returned if no limit applies, and its HTTP status is used for limits that have no status of their own.
+Explanation explanation_of_limit(groups::Limit limit, Explanation fallback) {
   using groups::Limit;
   switch (limit) {
     case Limit::none:
-      return otherwise;
+      return fallback;
     case Limit::unknown_group:
       return {403, "there is no such group"};
     case Limit::made:
-      return {otherwise.status, "there are as many groups on demand as may be"};
+      return {fallback.status, "there are as many groups on demand as may be"};
     case Limit::queued:
-      return {otherwise.status, "as many queries wait as may"};
+      return {fallback.status, "as many queries wait as may"};
     case Limit::wait:
-      return {otherwise.status, "it has waited as long as queries may"};
+      return {fallback.status, "it has waited as long as queries may"};
     case Limit::query_threads:
       return {422, "the class needs more threads than the ceiling"};
     case Limit::query_work:
@@ -51,7 +51,7 @@
     case Limit::run:
       return {504, "it ran longer than queries may"};
   }
-  return otherwise;
+  return fallback;
 }
 
 }  // namespace
@@ -70,17 +70,17 @@
   return "";
 }
 
-Problem problem_of(const FinishRequest& answer) {
-  const auto explanation = explanation_of_limit(answer.limit, explanation_of_status(answer));
-  const bool rejected = answer.status == FinalStatus::rejected;
+Problem problem_of(const FinishRequest& command) {
+  const auto explanation = explanation_of_limit(command.limit, explanation_of_status(command));
+  const bool rejected = command.status == FinalStatus::rejected;
   Problem problem;
   problem.status = explanation.status;
   problem.detail = explanation.detail;
   problem.outcome = rejected ? ProblemOutcome::rejected : ProblemOutcome::failed;
-  problem.retry_is_safe = rejected || answer.provably_never_ran;
-  problem.provably_never_ran = answer.provably_never_ran;
-  problem.attempts = answer.attempts;
-  problem.retry_after = answer.retry_after;
+  problem.retry_is_safe = rejected || command.provably_never_ran;
+  problem.provably_never_ran = command.provably_never_ran;
+  problem.attempts = command.attempts;
+  problem.retry_after = command.retry_after;
   return problem;
 }
 
--- a/src/router/problem_details.hpp
+++ b/src/router/problem_details.hpp
@@ -1,5 +1,5 @@
-// Final answers that carry no result, as problem details (RFC 9457): what became of the request and whether
-// repeating it does harm.
+// Converts final responses without a result to problem details (RFC 9457), which tell the client how its
+// request ended and whether it is safe to retry it.
 #pragma once
 
 #include <cstdint>
@@ -10,33 +10,34 @@
 
 namespace heronwell::router {
 
-// What became of a request, as its client is told.
+// How a request ended, as reported to its client.
 enum class ProblemOutcome {
-  bad_request,     // never submitted
-  rejected,        // by the decision engine or a limit; running it again does no harm
-  failed,          // nothing is promised about its effect
-  statement_error  // it ran, and the error is the statement's own
+  bad_request,     // the request is invalid and was never submitted to the registry
+  rejected,        // the decision engine or a limit rejected it; repeating it does no harm
+  failed,          // it may or may not have taken effect
+  statement_error  // the engine ran the statement, and the statement itself failed
 };
-// The word of the interface for it: "rejected", "refused", "failed", "served", in the order above.
+// Returns the name of the outcome in the HTTP interface: "rejected", "refused", "failed" or "served", in the
+// order above.
 [[nodiscard]] std::string_view text_of(ProblemOutcome outcome);
 
 struct Problem {
   int status = 400;    // HTTP status
-  std::string field;   // of the input, where one is at fault; else empty
-  std::string detail;  // for people: what was expected, or what happened
+  std::string field;   // the invalid field of the input; empty if there is none
+  std::string detail;  // human-readable: what was expected, or what happened
   ProblemOutcome outcome = ProblemOutcome::bad_request;
-  std::string sqlstate;            // of the statement's own error; else empty
-  bool retry_is_safe = true;       // repeating the request does no harm
-  bool provably_never_ran = true;  // no attempt can have run
-  unsigned attempts = 0;
-  Time retry_after{};  // span after which a retry makes sense; zero: no advice
+  std::string sqlstate;            // SQLSTATE of a statement error; else empty
+  bool retry_is_safe = true;       // whether repeating the request does no harm
+  bool provably_never_ran = true;  // whether no attempt can have run
+  unsigned attempts = 0;           // number of attempts
+  Time retry_after{};              // duration after which a retry is worthwhile; zero: no advice
 };
 
-// How a request that the registry finished without a result is told to its client.
-Problem problem_of(const FinishRequest& answer);
-// The body, of type application/problem+json.
+// Returns the problem to report for a request that the registry finished without a result.
+Problem problem_of(const FinishRequest& command);
+// Returns the response body, of media type application/problem+json.
 std::string problem_body(const Problem& problem);
-// In whole seconds, rounded up, as the header Retry-After has it.
+// Returns the value of the Retry-After header: whole seconds, rounded up.
 std::int64_t retry_after_seconds(Time retry_after);
 
 }  // namespace heronwell::router
--- a/src/router/query_parser.cpp
+++ b/src/router/query_parser.cpp
@@ -15,13 +15,13 @@
 namespace heronwell::router {
 namespace {
 
-// What a client may claim that one query takes: an hour of work, ten terabytes of memory.
+// Upper limits of a client's estimates for one query: one hour of work and ten terabytes of memory.
 constexpr double kMaxWorkMs = 3.6e6, kMaxMemoryMb = 1e7;
 
 using Json = rapidjson::Value;
-using MaybeProblem = std::optional<Problem>;
+using OptionalProblem = std::optional<Problem>;
 
-Problem wrong(std::string field, std::string detail) {
+Problem invalid_field(std::string field, std::string detail) {
   Problem problem;
   problem.field = std::move(field);
   problem.detail = std::move(detail);
@@ -30,29 +30,32 @@
 
 std::string_view text(const Json& value) { return {value.GetString(), value.GetStringLength()}; }
 
-// A name or a number, as one number; a text by its hash.
-std::optional<std::uint64_t> as_key(const Json& value) {
+// Maps a string or an integer to one integer key. The key of a string is its hash.
+std::optional<std::uint64_t> to_integer_key(const Json& value) {
   if (value.IsUint64()) return value.GetUint64();
   if (value.IsInt64()) return static_cast<std::uint64_t>(value.GetInt64());
   if (!value.IsString()) return std::nullopt;
   return XXH64(value.GetString(), value.GetStringLength(), 0);
 }
 
-Problem unknown_name(const std::string& field, std::string_view name, const std::vector<std::string>& known) {
-  const auto near = yaml::nearest(name, known);
-  return wrong(field, near.empty() ? fmt::format("expected one of {}", fmt::join(known, ", "))
-                                   : fmt::format("unknown; the nearest known one is \"{}\"", near));
+Problem unknown_name_problem(const std::string& field, std::string_view name,
+                             const std::vector<std::string>& known) {
+  const auto nearest = yaml::nearest(name, known);
+  return invalid_field(field, nearest.empty()
+                                  ? fmt::format("expected one of {}", fmt::join(known, ", "))
+                                  : fmt::format("unknown; the nearest known one is \"{}\"", nearest));
 }
 
-MaybeProblem read_estimates(const Json& value, RequestArrived& request) {
-  if (!value.IsObject()) return wrong("estimates", "expected an object");
+OptionalProblem read_estimates(const Json& value, RequestArrived& request) {
+  if (!value.IsObject()) return invalid_field("estimates", "expected an object");
   for (const auto& [key, number] : value.GetObject()) {
     const auto name = text(key);
     const bool work = name == "work_ms";
-    if (!work && name != "memory_mb") return wrong("estimates." + std::string(name), "unknown field");
+    if (!work && name != "memory_mb") return invalid_field("estimates." + std::string(name), "unknown field");
     const double max = work ? kMaxWorkMs : kMaxMemoryMb;
     if (!number.IsNumber() || number.GetDouble() < 0 || number.GetDouble() > max)
-      return wrong("estimates." + std::string(name), fmt::format("expected a number from 0 to {}", max));
+      return invalid_field("estimates." + std::string(name),
+                           fmt::format("expected a number from 0 to {}", max));
     if (work)
       request.estimated_work = Time(static_cast<std::int64_t>(number.GetDouble() * 1e6));
     else
@@ -61,34 +64,35 @@
   return std::nullopt;
 }
 
-MaybeProblem read_statement(const Json& value, std::string& statement) {
+OptionalProblem read_statement(const Json& value, std::string& statement) {
   if (!value.IsString() || value.GetStringLength() == 0)
-    return wrong("statement", "expected a text that is not empty");
-  // PostgreSQL's protocol ends texts with NUL: what follows one would be left out of the statement.
+    return invalid_field("statement", "expected a text that is not empty");
+  // Strings end with NUL in PostgreSQL's protocol, so the part of the statement after a NUL would be lost.
   if (text(value).find('\0') != std::string_view::npos)
-    return wrong("statement", "expected a text without NUL");
+    return invalid_field("statement", "expected a text without NUL");
   statement = text(value);
   return std::nullopt;
 }
 
-// One of the configured names, handed to `set` as its place among them.
+// Reads one of the configured names and passes its index among them to `set`.
 template <class Set>
-MaybeProblem read_name(std::string_view field, const Json& value, const std::vector<std::string>& names,
-                       Set set) {
-  if (!value.IsString()) return wrong(std::string(field), "expected a text");
+OptionalProblem read_name(std::string_view field, const Json& value, const std::vector<std::string>& names,
+                          Set set) {
+  if (!value.IsString()) return invalid_field(std::string(field), "expected a text");
   const auto found = std::ranges::find(names, text(value));
-  if (found == names.end()) return unknown_name(std::string(field), text(value), names);
+  if (found == names.end()) return unknown_name_problem(std::string(field), text(value), names);
   set(static_cast<std::size_t>(found - names.begin()));
   return std::nullopt;
 }
 
-// The header heronwell-timeout-ms may shorten a class's timeout, never extend it.
-MaybeProblem apply_timeout(std::string_view header, Time class_timeout, RequestArrived& request) {
+// Applies the value of the header heronwell-timeout-ms, which may shorten the class's timeout but not extend
+// it.
+OptionalProblem apply_timeout(std::string_view header, Time class_timeout, RequestArrived& request) {
   std::int64_t ms = 0;
   const auto* end = header.data() + header.size();
-  const auto read = std::from_chars(header.data(), end, ms);
-  if (read.ec != std::errc{} || read.ptr != end || ms < 1)
-    return wrong("heronwell-timeout-ms", "expected a whole number of milliseconds from 1");
+  const auto result = std::from_chars(header.data(), end, ms);
+  if (result.ec != std::errc{} || result.ptr != end || ms < 1)
+    return invalid_field("heronwell-timeout-ms", "expected a whole number of milliseconds from 1");
   if (ms < class_timeout / std::chrono::milliseconds(1)) request.time_left = std::chrono::milliseconds(ms);
   return std::nullopt;
 }
@@ -97,38 +101,39 @@
   const std::vector<std::string>&classes, &tenants;
 };
 
-// A query whose fields are being read.
-struct Draft {
+// A query while its fields are being read.
+struct PartialQuery {
   ParsedQuery query;
   std::optional<std::size_t> class_index;
 };
 
-// Reads one member of the object into `draft`; what is wrong with it otherwise.
-MaybeProblem read_field(std::string_view name, const Json& value, const KnownNames& known, Draft& draft) {
-  auto& request = draft.query.spec.request;
-  if (name == "statement") return read_statement(value, draft.query.statement);
+// Reads one member of the JSON object into `partial`. Returns the problem if the member is invalid.
+OptionalProblem read_field(std::string_view name, const Json& value, const KnownNames& known,
+                           PartialQuery& partial) {
+  auto& request = partial.query.spec.request;
+  if (name == "statement") return read_statement(value, partial.query.statement);
   if (name == "class")
-    return read_name(name, value, known.classes, [&](std::size_t at) { draft.class_index = at; });
+    return read_name(name, value, known.classes, [&](std::size_t at) { partial.class_index = at; });
   if (name == "tenant")
     return read_name(name, value, known.tenants,
                      [&](std::size_t at) { request.tenant = static_cast<std::uint32_t>(at); });
   if (name == "data_group" || name == "key") {
-    const auto number = as_key(value);
-    if (!number) return wrong(std::string(name), "expected a text or a whole number");
+    const auto number = to_integer_key(value);
+    if (!number) return invalid_field(std::string(name), "expected a text or a whole number");
     if (name == "key")
-      request.order_key = std::max<std::uint64_t>(1, *number);  // 0 means that there is none
+      request.order_key = std::max<std::uint64_t>(1, *number);  // 0 means that the request has no key
     else
       request.data_group = static_cast<std::int64_t>(*number);
     return std::nullopt;
   }
   if (name == "estimates") return read_estimates(value, request);
   if (name == "repeat") {
-    if (!value.IsBool()) return wrong(std::string(name), "expected true or false");
+    if (!value.IsBool()) return invalid_field(std::string(name), "expected true or false");
     request.client_retry = value.GetBool();
     return std::nullopt;
   }
-  return unknown_name(std::string(name), name,
-                      {"statement", "class", "tenant", "data_group", "key", "estimates", "repeat"});
+  return unknown_name_problem(std::string(name), name,
+                              {"statement", "class", "tenant", "data_group", "key", "estimates", "repeat"});
 }
 
 }  // namespace
@@ -144,18 +149,19 @@
   json.Parse<rapidjson::kParseValidateEncodingFlag | rapidjson::kParseIterativeFlag>(body.data(),
                                                                                      body.size());
   if (json.HasParseError())
-    return wrong("", fmt::format("JSON, at byte {}: {}", json.GetErrorOffset(),
-                                 rapidjson::GetParseError_En(json.GetParseError())));
-  if (!json.IsObject()) return wrong("", "expected a JSON object");
-  Draft draft;
+    return invalid_field("", fmt::format("JSON, at byte {}: {}", json.GetErrorOffset(),
+                                         rapidjson::GetParseError_En(json.GetParseError())));
+  if (!json.IsObject()) return invalid_field("", "expected a JSON object");
+  PartialQuery partial;
   for (const auto& [key, value] : json.GetObject())
-    if (auto problem = read_field(text(key), value, {classes_, tenants_}, draft)) return *std::move(problem);
-  auto& query = draft.query;
-  if (query.statement.empty()) return wrong("statement", "missing");
-  if (!draft.class_index) return wrong("class", "missing");
+    if (auto problem = read_field(text(key), value, {classes_, tenants_}, partial))
+      return *std::move(problem);
+  auto& query = partial.query;
+  if (query.statement.empty()) return invalid_field("statement", "missing");
+  if (!partial.class_index) return invalid_field("class", "missing");
   auto& request = query.spec.request;
-  request.class_index = static_cast<ClassIndex>(*draft.class_index);
-  request.time_left = timeouts_[*draft.class_index];
+  request.class_index = static_cast<ClassIndex>(*partial.class_index);
+  request.time_left = timeouts_[*partial.class_index];
   if (timeout)
     if (auto problem = apply_timeout(*timeout, request.time_left, request)) return *std::move(problem);
   return std::move(query);
--- a/src/router/query_parser.hpp
+++ b/src/router/query_parser.hpp
@@ -1,4 +1,5 @@
-// POST /v1/query: a JSON object in, a request for the registry out, or the problem with it. No sockets.
+// Parses the body of POST /v1/query, a JSON object, into a request for the registry, or into the problem to
+// report to the client. It performs no I/O.
 #pragma once
 
 #include <optional>
@@ -12,18 +13,18 @@
 
 namespace heronwell::router {
 
-// A query as it was asked for; its ticket is not set yet.
+// A query as the client sent it. The caller still has to set its ticket.
 struct ParsedQuery {
   std::string statement;
   RequestSpec spec;
 };
 
-// Reads queries against the classes and tenants of the settings.
+// Parses queries and resolves their classes and tenants by the names in the settings.
 class QueryParser {
  public:
   explicit QueryParser(const Settings& settings);
 
-  // `timeout`: the value of the header heronwell-timeout-ms; none: the class's timeout holds.
+  // `timeout`: the value of the header heronwell-timeout-ms; if absent, the class's timeout applies.
   [[nodiscard]] std::variant<ParsedQuery, Problem> parse(std::string_view body,
                                                          std::optional<std::string_view> timeout) const;
 
--- a/src/router/request_registry.cpp
+++ b/src/router/request_registry.cpp
@@ -10,14 +10,16 @@
 
 using namespace std::chrono_literals;
 
-// Gossip about the use of groups. Every router receives what all others send, so the interval grows with
-// their number and what a router receives in a second stays bounded, whatever the size of the fleet.
-constexpr Time kGroupGossipInterval = 200ms;     // between rounds, in a small fleet
-constexpr unsigned kRoutersAtFullRate = 10;      // up to so many routers the interval is not stretched
-constexpr std::size_t kMaxMessagesPerRound = 4;  // messages of 256 bytes at most
-
-// A limit on what waits now may leave capacity later, so that a retry makes sense; a limit on what one query
-// may use rejects the same query for ever.
+// Gossip about the engine time that resource groups use. Every router receives the messages of all others, so
+// the interval between rounds grows with the number of routers. This bounds the messages that a router
+// receives per second, whatever the size of the fleet.
+constexpr Time kGroupGossipInterval = 200ms;  // between rounds, in a small fleet
+// Up to this number of routers, the interval does not grow.
+constexpr unsigned kMaxRoutersAtFullGossipRate = 10;
+constexpr std::size_t kMaxGossipMessagesPerRound = 4;  // of at most 256 bytes each
+
+// Returns whether a later retry may succeed. A limit on queued requests, waiting time or created groups may
+// have capacity again later; a limit on the resources of one query always rejects the same query.
 bool is_temporary(groups::Limit limit) {
   using groups::Limit;
   return limit == Limit::queued || limit == Limit::made || limit == Limit::wait;
@@ -36,11 +38,14 @@
   using enum RequestState;
   // Rows: from. Columns: to. Both in the order queued, in_flight, streaming, finished.
   constexpr std::array<std::array<bool, 4>, 4> allowed{{
-      {false, true, false, true},  // queued: an attempt starts; final answer or disconnect
-      {true, true, true,
-       true},  // in_flight: last attempt ended; another starts; response begins; final answer
-      {false, false, false, true},   // streaming: complete, aborted or disconnected
-      {false, false, false, false},  // finished: nothing is sent after it
+      // queued: an attempt starts; final response or disconnect
+      {false, true, false, true},
+      // in_flight: last attempt ended; another starts; response begins; final response or disconnect
+      {true, true, true, true},
+      // streaming: response complete or aborted, or client disconnected
+      {false, false, false, true},
+      // finished: no transition leaves this state
+      {false, false, false, false},
   }};
   return allowed[static_cast<std::size_t>(from)][static_cast<std::size_t>(to)];
 }
@@ -52,7 +57,7 @@
       decision_engine_(settings_, seed, groups_.get()),
       request_ids_(first_id) {}
 
-// ---- what happened ------------------------------------------------------------------------------------
+// ---- events -------------------------------------------------------------------------------------------
 RequestRegistry::Request* RequestRegistry::find(Ticket ticket) {
   const auto found = tickets_.find(ticket);
   return found == tickets_.end() ? nullptr : &requests_.at(found->second);
@@ -89,17 +94,17 @@
   deadlines_.emplace(request.deadline, id);
   ++open_;
   ++counters_.received;
-  // The decision engine never hears of a request that its group does not admit.
-  const auto limit = enter_group(now, id, spec);
+  // A request that its group does not admit is never reported to the decision engine.
+  const auto limit = admit_to_group(now, id, spec);
   if (limit != groups::Limit::none) return finish_by_group_limit(request, FinalStatus::rejected, limit);
   auto arrived = spec.request;
   arrived.request = id;
   events_.emplace_back(arrived);
 }
 
-groups::Limit RequestRegistry::enter_group(Time now, RequestId id, const RequestSpec& spec) {
+groups::Limit RequestRegistry::admit_to_group(Time now, RequestId id, const RequestSpec& spec) {
   if (!groups_) return groups::Limit::none;
-  observe_group_load(now);
+  update_groups(now);
   const auto& request = spec.request;
   return groups_->enter(id, spec.group, spec.may_create_group,
                         {request.class_index, request.estimated_memory_mb, request.estimated_work});
@@ -108,18 +113,18 @@
 void RequestRegistry::client_disconnected(Ticket ticket) {
   auto* request = find(ticket);
   if (request == nullptr || request->state == RequestState::finished) return;
-  // The decision engine may have closed a request whose response is being streamed, and would then cancel
-  // nothing.
+  // The decision engine may already have closed a request whose response is being streamed. It would then not
+  // cancel the attempt, so the attempt is cancelled here.
   if (request->state == RequestState::streaming)
     stop_attempt(*request, request->streaming_attempt, immediate_commands_);
   change_state(*request, RequestState::finished);
   ++counters_.disconnected;
   events_.emplace_back(ClientDisconnected{request->id});
-  finish_candidates_.push_back(request->id);
+  forget_candidates_.push_back(request->id);
 }
 
 void RequestRegistry::attempt_finished(Time now, AttemptEnd end) {
-  observe_group_load(now);
+  update_groups(now);
   auto* request = find_with_live_attempt(end.ticket, end.attempt);
   if (request == nullptr) return;
   AttemptFinished event;
@@ -137,13 +142,13 @@
       finish_stream(request, end);
       return end.result;
     }
-    // Another attempt's response has begun to be sent, so this one can't be the final one any more.
+    // The response of another attempt is already being sent, so this response can't be the final one.
     return end.result == AttemptResult::served ? AttemptResult::cancelled : end.result;
   }
   if (end.result != AttemptResult::served || request.state != RequestState::in_flight) return end.result;
-  // Failure: the process is suspended past a deadline and then finds a response waiting in its socket;
-  // delivered, it would reach a client that has given up and count as served. Guard: a response is judged by
-  // when it is handled.
+  // The time at which a response is handled decides whether it is in time. Otherwise, if the process was
+  // suspended past the deadline and then found a response waiting in its socket, it would deliver the
+  // response to a client that has already given up and count the request as served.
   if (now > request.deadline) return AttemptResult::timed_out;
   change_state(request, RequestState::finished);
   ++counters_.served;
@@ -178,7 +183,7 @@
     if (groups_) groups_->waits(request.id);
   }
   events_.emplace_back(std::move(event));
-  finish_candidates_.push_back(request.id);
+  forget_candidates_.push_back(request.id);
 }
 
 void RequestRegistry::release_threads(EngineId engine, ClassIndex class_index) {
@@ -198,7 +203,7 @@
   request->streaming_attempt = index;
   ++counters_.streams;
   immediate_commands_.emplace_back(BeginStream{ticket, index});
-  // The response belongs to the client now and ends at the client's pace: no time-out runs any more.
+  // The client now determines how long the response takes, so the attempt's timeout no longer applies.
   attempt_deadlines_.erase({attempt.deadline, request->id, index});
   for (std::size_t other = 0; other < request->attempts.size(); ++other)
     if (other != index) stop_attempt(*request, other, immediate_commands_);
@@ -233,9 +238,9 @@
 
 void RequestRegistry::begin_shutdown() { events_.emplace_back(ShutdownRequested{}); }
 
-// ---- one step -----------------------------------------------------------------------------------------
+// ---- one step of the registry -------------------------------------------------------------------------
 void RequestRegistry::run(Time now, std::vector<Command>& out) {
-  observe_group_load(now);
+  update_groups(now);
   expire_attempts(now);
   enforce_group_limits();
   fire_timers(now);
@@ -245,12 +250,12 @@
   exchange_group_gossip(now, out);
 }
 
-void RequestRegistry::observe_group_load(Time now) {
+void RequestRegistry::update_groups(Time now) {
   if (groups_) groups_->at(now, decision_engine_.pool_threads());
 }
 
-// Runs after all that has already come in, so that a response that came in the same step as its time-out
-// counts.
+// Called after all events received so far have been applied, so that a response that was received in the same
+// step as its timeout counts.
 void RequestRegistry::expire_attempts(Time now) {
   while (!attempt_deadlines_.empty() && std::get<Time>(*attempt_deadlines_.begin()) <= now) {
     const auto [deadline, id, index] = *attempt_deadlines_.begin();
@@ -263,8 +268,8 @@
   }
 }
 
-// The client is answered at once; the decision engine hears that the client has disconnected, since for it a
-// request without a client is one that needs nothing more.
+// Ends requests that exceed the limits of their resource group. Each client gets its response at once. The
+// decision engine receives ClientDisconnected, since it needs to do nothing more for such a request.
 void RequestRegistry::enforce_group_limits() {
   if (!groups_) return;
   for (const auto& [id, limit] : groups_->over()) {
@@ -277,11 +282,12 @@
   }
 }
 
-// The decision engine has this rule in its forwarding rules, but its interface does not offer it, and it
-// never hears of the limits of groups: a request that passes one is ended here. Without the rule here, a
-// request that is not idempotent and may have run would be answered as rejected, its client would repeat it,
-// and its effect would happen twice. This place is the stricter one: an idempotency key does not count, so
-// that such a request counts as failed here once it may have run.
+// Returns whether the request may be reported as rejected, which tells the client that repeating it is safe.
+// Without this rule, a client would repeat a request that is not idempotent and may have run, and it would
+// take effect twice. The decision engine has the same rule among its forwarding rules, but its interface does
+// not expose it, and requests that exceed a group limit are ended here without the decision engine. The rule
+// here is stricter: idempotency keys are not considered, so a request with a key that may have run is
+// reported as failed.
 bool RequestRegistry::may_reject(const Request& request) const {
   return settings_.classes[request.class_index].idempotency == Idempotency::idempotent ||
          provably_never_ran(request);
@@ -311,9 +317,8 @@
   for (const auto& action : actions_) std::visit([&](const auto& one) { execute(now, one, out); }, action);
 }
 
-// The decision engine answers each request a little before its deadline. Failure: should it leave one open,
-// its client would wait for ever and its id would never be free again. Guard: at its deadline the request is
-// answered here.
+// Ends requests at their deadline as a fallback. The decision engine ends each request shortly before its
+// deadline; if it left one open, the client would wait forever and the request's id would never be freed.
 void RequestRegistry::finish_overdue(Time now, std::vector<Command>& out) {
   while (!deadlines_.empty() && deadlines_.begin()->first <= now) {
     const auto id = deadlines_.begin()->second;
@@ -325,8 +330,9 @@
   }
 }
 
-// Failure: an id that is given to a new request while the decision engine has yet to hear of the end of its
-// predecessor would end the new request. Guard: an id stays in use until no event that names it is waiting.
+// Removes finished requests, which frees their ids. An id stays in use as long as an event with it waits for
+// the decision engine; otherwise the event that ends the old request would end a new request with the same
+// id.
 void RequestRegistry::forget_finished() {
   const auto has_pending_event = [this](RequestId id) {
     return std::ranges::any_of(events_, [id](const Event& event) {
@@ -336,45 +342,45 @@
              (disconnected != nullptr && disconnected->request == id);
     });
   };
-  std::vector<RequestId> later;
-  for (const auto id : finish_candidates_) {
+  std::vector<RequestId> still_pending;
+  for (const auto id : forget_candidates_) {
     const auto found = requests_.find(id);
     if (found == requests_.end()) continue;
     const auto& request = found->second;
     if (request.state != RequestState::finished || !std::ranges::all_of(request.attempts, &Attempt::ended))
       continue;
     if (has_pending_event(id)) {
-      later.push_back(id);
+      still_pending.push_back(id);
       continue;
     }
     deadlines_.erase({request.deadline, id});
     tickets_.erase(request.ticket);
     requests_.erase(found);
   }
-  finish_candidates_ = std::move(later);
+  forget_candidates_ = std::move(still_pending);
 }
 
 void RequestRegistry::exchange_group_gossip(Time now, std::vector<Command>& out) {
   if (!groups_ || !settings_.gossip_enabled || settings_.router_count < 2) return;
-  const auto stretch = std::max(1U, settings_.router_count / kRoutersAtFullRate);
-  if (now < group_gossip_sent_at_ + kGroupGossipInterval * stretch) return;
+  const auto interval_factor = std::max(1U, settings_.router_count / kMaxRoutersAtFullGossipRate);
+  if (now < group_gossip_sent_at_ + kGroupGossipInterval * interval_factor) return;
   group_gossip_sent_at_ = now;
-  for (auto& bytes : groups_->tell(kMaxMessagesPerRound))
+  for (auto& bytes : groups_->tell(kMaxGossipMessagesPerRound))
     out.emplace_back(ForwardGossip{std::nullopt, std::move(bytes)});
 }
 
-// ---- final answers ------------------------------------------------------------------------------------
+// ---- final responses ----------------------------------------------------------------------------------
 void RequestRegistry::finish_by_group_limit(Request& request, FinalStatus status, groups::Limit limit) {
   const auto retry_after = is_temporary(limit) ? settings_.max_retry_after : Time::zero();
   finish(request, {status, retry_after, limit}, immediate_commands_);
 }
 
-void RequestRegistry::finish(Request& request, const FinalAnswer& answer, std::vector<Command>& out) {
+void RequestRegistry::finish(Request& request, const FinalResult& result, std::vector<Command>& out) {
   FinishRequest command;
   command.ticket = request.ticket;
-  command.status = answer.status;
-  command.retry_after = answer.retry_after;
-  command.limit = answer.limit;
+  command.status = result.status;
+  command.retry_after = result.retry_after;
+  command.limit = result.limit;
   command.attempts = static_cast<unsigned>(request.attempts.size());
   command.provably_never_ran = provably_never_ran(request);
   command.load_snapshot = load_snapshot(request, 0);
@@ -384,8 +390,8 @@
   }
   change_state(request, RequestState::finished);
   out.emplace_back(command);
-  finish_candidates_.push_back(request.id);
-  count_final(answer.status);
+  forget_candidates_.push_back(request.id);
+  count_final(result.status);
 }
 
 void RequestRegistry::count_final(FinalStatus status) {
@@ -423,8 +429,9 @@
   request.attempts.push_back({action.engine, now, deadline});
   auto snapshot = load_snapshot(request, action.engine);
   threads_in_flight_[action.engine] += settings_.classes[request.class_index].threads;
-  // The decision engine does not hear that a response has begun to be streamed and may want another attempt
-  // beside it, and the deadline may have passed while it decided. Such an attempt never leaves this process.
+  // The decision engine is not notified when a response begins to be streamed, so it may start another
+  // attempt for that request. Also, the deadline may have passed while the decision engine ran. In both
+  // cases, the attempt is not sent to an engine.
   if (!is_open(request.state) || deadline <= now) {
     AttemptFinished event;
     event.result = AttemptResult::never_started;
--- a/src/router/request_registry.hpp
+++ b/src/router/request_registry.hpp
@@ -1,15 +1,17 @@
-// The request registry: the host of the decision engine. Events (requests, ends of attempts, the endpoint
-// list, gossip) go in, the decision engine's actions come out as commands (router/commands.hpp). No sockets,
-// no clock, and no decision of its own: it keeps what the engine's interface leaves to its host, namely the
-// ids of requests and attempts, the time-outs of attempts, which response is the final one, and the deadline
-// as a last resort. A RequestRegistry is for one thread.
+// The request registry hosts the decision engine. It receives events (requests, ends of attempts, endpoint
+// lists, gossip), passes them to the decision engine, and returns the engine's actions as commands
+// (router/commands.hpp). It has no sockets and no clock and makes no decisions of its own. It maintains the
+// state that the decision engine's interface leaves to its host: the ids of requests and attempts, the
+// timeouts of attempts, which response is the final one, and request deadlines as a fallback. A
+// RequestRegistry may be used from one thread only.
 //
-// A request:
-//   queued     waits in the decision engine; no attempt is in flight
-//   in_flight  at least one attempt has not ended
-//   streaming  a response has begun to be sent to the client before it was complete; it is the final one
-//   finished   has its final answer, or its client has disconnected; nothing is sent after it
+// States of a request:
+//   queued     The request waits in the decision engine; no attempt is in flight.
+//   in_flight  At least one attempt has not ended.
+//   streaming  A response is being sent to the client before it is complete; it is the final response.
+//   finished   The request has its final response, or its client has disconnected; nothing more is sent.
 //
+// Transitions:
 //   queued    --StartAttempt--> in_flight
 //   queued    --Reject, FailRequest, group limit, disconnect, deadline--> finished
 //   in_flight --last attempt ended--> queued
@@ -18,13 +20,13 @@
 //   in_flight --served, Reject, FailRequest, group limit, disconnect, deadline--> finished
 //   streaming --its attempt ended, disconnect--> finished
 //
-// A finished request is forgotten once all its attempts have ended and the decision engine has heard so;
-// until then its id is not given to another.
+// A finished request is removed once all its attempts have ended and the decision engine has received their
+// ends. Until then its id is not reused.
 //
-// An attempt is in flight from StartAttempt until it is reported as ended or its deadline passes. An attempt
-// that cannot start any more (request finished or streaming, deadline passed) ends at once as
-// `never_started`. A cancel request does not end an attempt: its end is reported like any other. Events about
-// attempts that have ended are ignored.
+// An attempt is in flight from StartAttempt until the caller reports its end or its deadline passes. An
+// attempt that can no longer start (its request is finished or streaming, or its deadline has passed) ends at
+// once as `never_started`. A cancel request does not end an attempt; the caller reports the end of the
+// attempt like any other. Events about attempts that have ended are ignored.
 #pragma once
 
 #include <cstdint>
@@ -44,36 +46,37 @@
 
 namespace heronwell::router {
 
-// A request as it is submitted.
+// A request as submitted by the caller.
 struct RequestSpec {
   Ticket ticket = 0;
-  RequestArrived request;  // its id is set by the registry
-  // Only with resource groups: the path of its group, and whether a template named it, so that it may be
-  // created.
+  RequestArrived request;  // the registry sets its id
+  // Used only with resource groups: the path of the request's group, and whether the path comes from a
+  // template, so that the group may be created if it does not exist.
   std::string group;
   bool may_create_group = false;
 };
 
-// The end of an attempt, as its connection saw it.
+// The end of an attempt as observed on its connection.
 struct AttemptEnd {
   Ticket ticket = 0;
   AttemptIndex attempt = 0;
   AttemptResult result = AttemptResult::served;
-  Time at{};                 // clock time of the end, when it was seen
-  std::optional<Time> work;  // of all threads, where the response reports it
-  double memory_mb = 0;      // used, where the response reports it; else 0
-  std::vector<double> load;  // in the order of Settings::load_fields; empty: not reported
+  Time at{};                 // clock time at which the end was observed
+  std::optional<Time> work;  // time used by all threads together; none: not reported by the response
+  double memory_mb = 0;      // memory used; 0: not reported by the response
+  std::vector<double> load;  // load report in the order of Settings::load_fields; empty: not reported
 };
 
-// See the state machine at the top of this file.
+// The comment at the top of this file describes the states and transitions.
 enum class RequestState { queued, in_flight, streaming, finished };
 [[nodiscard]] bool transition_allowed(RequestState from, RequestState to);
 
-// Gives out ids that are not in use. Ids have 32 bits, which wrap in the life of a busy process.
+// Allocates ids that are not in use. Ids have 32 bits and can wrap around within the lifetime of a busy
+// process.
 class RequestIdAllocator {
  public:
   explicit RequestIdAllocator(RequestId first = 1) : next_(first) {}
-  // `in_use`: a container of the ids that must not be given out; it must not hold all of them.
+  // `in_use`: a container of the ids that must not be allocated. It must not contain every possible id.
   RequestId allocate(const auto& in_use) {
     while (in_use.contains(next_)) ++next_;
     return next_++;
@@ -85,50 +88,52 @@
 
 // Counts since the start of the process.
 struct Counters {
-  // Of requests, by how they ended; `streams` counts responses that began before they were complete.
+  // Requests, by how they ended. `streams` counts responses that were streamed, that is, whose sending began
+  // before they were complete.
   std::uint64_t received = 0, served = 0, rejected = 0, failed = 0, deadline_exceeded = 0, disconnected = 0;
   std::uint64_t streams = 0, streams_aborted = 0;
-  // Of attempts: `retries` are those after a request's first, hedges included.
+  // Attempts. `retries` counts attempts after the first of a request, including hedges.
   std::uint64_t attempts_started = 0, retries = 0, cancellations = 0;
   std::uint64_t health_checks = 0;
-  // Of the decision engine: calls, and events given to it.
+  // Calls of the decision engine and events passed to it.
   std::uint64_t decision_engine_calls = 0, decision_engine_events = 0;
 };
 
 class RequestRegistry {
  public:
-  // `groups`: resource groups, which choose the next request of a class and enforce their limits; null: each
-  // class is one queue. `first_id`: of the first request, for tests of wrapping ids. Throws
-  // std::invalid_argument that names the setting that makes no sense.
+  // `groups`: the resource groups, which choose the next request of a class and enforce limits; if null, each
+  // class is one queue. `first_id`: the id of the first request; tests set it to check that ids wrap around.
+  // Throws std::invalid_argument that names the first invalid setting.
   RequestRegistry(Settings settings, std::uint64_t seed, RequestId first_id = 1,
                   std::unique_ptr<groups::Shares> groups = nullptr);
 
-  // ---- what happened; the decision engine hears of it with the next run()
-  // Calls about requests and attempts that are not known, or have ended, do nothing.
+  // ---- events; the next run() passes them to the decision engine
+  // Calls for requests or attempts that are unknown or have ended do nothing.
   void add_request(Time now, const RequestSpec& spec);
   void client_disconnected(Ticket ticket);
   void attempt_finished(Time now, AttemptEnd end);
-  // The attempt's response has outgrown the buffer that holds it back until it is complete. A command
-  // answers: BeginStream, or StopAttempt where another response is the final one.
+  // The attempt's response exceeds the buffer that holds a response until it is complete. The next run()
+  // returns BeginStream, or StopAttempt if this response cannot be the final one.
   void response_overflowed(Time now, Ticket ticket, AttemptIndex index);
-  // `amount`: as AttemptProgress has it for that kind.
+  // `amount`: as defined by AttemptProgress for this `kind`.
   void attempt_progressed(Ticket ticket, AttemptIndex index, ProgressKind kind, double amount);
   void endpoints_updated(EndpointUpdate update);
   void health_check_finished(EngineId engine, AttemptResult result, Time latency, std::vector<double> load);
   void gossip_received(std::uint32_t from_router, std::string bytes);
-  // The process ends soon: the decision engine answers all open requests with the next run().
+  // The process is about to exit. The decision engine ends all open requests during the next run().
   void begin_shutdown();
 
   // ---- one step
-  // Hands all that happened to the decision engine, in one call, and appends the commands that follow. `now`
-  // never goes back.
+  // Passes all pending events to the decision engine in one call and appends the resulting commands to `out`.
+  // `now` must not decrease between calls.
   void run(Time now, std::vector<Command>& out);
-  // Clock time at which run() must be called if nothing happens before; a time in the past means at once.
+  // Returns the clock time at which run() must be called at the latest; a time in the past means at once.
   [[nodiscard]] Time next_due() const;
 
   void collect_load_snapshots(bool on) { collect_load_snapshots_ = on; }
-  [[nodiscard]] std::size_t open_count() const { return open_; }  // requests without a final answer
-  [[nodiscard]] std::size_t remembered_count() const { return requests_.size(); }  // those whose id is in use
+  [[nodiscard]] std::size_t open_count() const { return open_; }  // requests that are not finished
+  // Returns the number of requests that are not removed yet; their ids are in use.
+  [[nodiscard]] std::size_t remembered_count() const { return requests_.size(); }
   [[nodiscard]] const Counters& counters() const { return counters_; }
   [[nodiscard]] const DecisionEngine& decision_engine() const { return decision_engine_; }
   [[nodiscard]] const Settings& settings() const { return settings_; }
@@ -149,9 +154,9 @@
     Time deadline{};
     std::optional<SetResources> resources;
     std::vector<Attempt> attempts;
-    std::size_t streaming_attempt = 0;  // in state `streaming`: whose response is being sent
+    std::size_t streaming_attempt = 0;  // in state `streaming`: index of the attempt whose response is sent
   };
-  struct FinalAnswer {
+  struct FinalResult {
     FinalStatus status = FinalStatus::failed;
     Time retry_after{};
     groups::Limit limit = groups::Limit::none;
@@ -159,27 +164,27 @@
 
   // ---- requests and attempts
   Request* find(Ticket ticket);
-  // The request, if it has this attempt and the attempt has not ended; else null.
+  // Returns the request if it has this attempt and the attempt has not ended; else null.
   Request* find_with_live_attempt(Ticket ticket, AttemptIndex index);
-  Request* find_open(RequestId id);  // queued or in flight; else null
+  Request* find_open(RequestId id);  // null unless the request is queued or in flight
   void change_state(Request& request, RequestState to);
-  [[nodiscard]] groups::Limit enter_group(Time now, RequestId id, const RequestSpec& spec);
-  // What the end of an attempt means for its request. Returns the result that the decision engine is told.
+  [[nodiscard]] groups::Limit admit_to_group(Time now, RequestId id, const RequestSpec& spec);
+  // Applies the end of an attempt to its request. Returns the result to report to the decision engine.
   [[nodiscard]] AttemptResult apply_to_request(Time now, Request& request, const AttemptEnd& end);
   void finish_stream(Request& request, const AttemptEnd& end);
-  // Completes `event` with what is known of the attempt and hands it on.
+  // Marks the attempt as ended, completes `event` and queues it for the decision engine.
   void end_attempt(Request& request, std::size_t index, AttemptFinished event);
   void stop_attempt(Request& request, std::size_t index, std::vector<Command>& out);
   void release_threads(EngineId engine, ClassIndex class_index);
   [[nodiscard]] static bool provably_never_ran(const Request& request);
   [[nodiscard]] bool may_reject(const Request& request) const;
-  void finish(Request& request, const FinalAnswer& answer, std::vector<Command>& out);
+  void finish(Request& request, const FinalResult& result, std::vector<Command>& out);
   void finish_by_group_limit(Request& request, FinalStatus status, groups::Limit limit);
   void count_final(FinalStatus status);
   [[nodiscard]] std::optional<LoadSnapshot> load_snapshot(const Request& request, EngineId engine) const;
 
-  // ---- the parts of run()
-  void observe_group_load(Time now);
+  // ---- the steps of run(), in order
+  void update_groups(Time now);
   void expire_attempts(Time now);
   void enforce_group_limits();
   void fire_timers(Time now);
@@ -188,7 +193,7 @@
   void forget_finished();
   void exchange_group_gossip(Time now, std::vector<Command>& out);
 
-  // ---- one for each action of the decision engine
+  // ---- one overload for each action of the decision engine
   void execute(Time now, const StartAttempt& action, std::vector<Command>& out);
   void execute(Time now, const CancelAttempt& action, std::vector<Command>& out);
   void execute(Time now, const Reject& action, std::vector<Command>& out);
@@ -201,25 +206,25 @@
   void execute(Time now, const LogDecision& action, std::vector<Command>& out);
 
   Settings settings_;
-  std::unique_ptr<groups::Shares>
-      groups_;  // the decision engine's DispatchOrder, so it must outlive the engine
+  // May be null. The decision engine uses it as its DispatchOrder, so it must outlive the decision engine.
+  std::unique_ptr<groups::Shares> groups_;
   DecisionEngine decision_engine_;
   RequestIdAllocator request_ids_;
-  std::unordered_map<RequestId, Request>
-      requests_;  // open, or with an end that the decision engine has yet to hear of
+  // Requests that are open, have attempts in flight, or have pending events for the decision engine.
+  std::unordered_map<RequestId, Request> requests_;
   std::unordered_map<Ticket, RequestId> tickets_;
   std::set<std::pair<Time, RequestId>> deadlines_;
   std::set<std::tuple<Time, RequestId, std::size_t>> attempt_deadlines_;
   std::multiset<Time> timers_;
-  std::vector<Event> events_;    // for the decision engine's next call
-  std::vector<Action> actions_;  // of its last call; a member to spare allocations
-  // Commands that follow from what happened by itself; they precede those that the decision engine asks for.
+  std::vector<Event> events_;    // for the next call of the decision engine
+  std::vector<Action> actions_;  // of its last call; a member to avoid allocations
+  // Commands that result directly from events. They precede the commands from the decision engine's actions.
   std::vector<Command> immediate_commands_;
-  std::vector<RequestId> finish_candidates_;  // to be looked at by forget_finished()
+  std::vector<RequestId> forget_candidates_;  // request ids that forget_finished() examines
   std::size_t open_ = 0;
   Time group_gossip_sent_at_{};
   bool collect_load_snapshots_ = false;
-  std::map<EngineId, unsigned> threads_in_flight_;  // of this router, on each engine that has any
+  std::map<EngineId, unsigned> threads_in_flight_;  // threads of this router on each engine that has any
   Counters counters_;
 };
 
--- a/src/router/settings_reader.hpp
+++ b/src/router/settings_reader.hpp
@@ -1,7 +1,7 @@
-// The decision engine's settings as operators write them: YAML, with units. The names of its keys are mapped
-// to the members of Settings in settings_reader.cpp and nowhere else: the functions read_* and put_* have a
-// key beside its member. Errors are yaml::Error with line, column, field and what was expected; what the
-// decision engine itself finds to make no sense is reported by its constructor.
+// Reads the decision engine's settings from the YAML file that operators write, and writes them back. Values
+// have units. The names of the YAML keys are mapped to the members of Settings only in settings_reader.cpp,
+// by the functions read_* and put_*. The functions here throw yaml::Error with the line, column and field and
+// what was expected. The constructor of the decision engine checks whether the values are consistent.
 #pragma once
 
 #include <string>
@@ -13,19 +13,19 @@
 namespace heronwell::router {
 
 // Reads the keys gateway, zones, kinds, classes, tenants, rules, allow, loads, cross_zone_price and
-// over_share_worth of the file; leaves the others to the caller.
+// over_share_worth of the file. The caller reads the other keys.
 Settings read_settings(yaml::Section& file);
 
 std::vector<std::string> class_names(const Settings& settings);
 std::vector<std::string> tenant_names(const Settings& settings);
 
-// Names of zones and machine types in the order of their numbers.
+// Names of the configured zones and machine types. The index of a name is the number of its zone or type.
 struct ConfiguredNames {
   std::vector<std::string> zones, machine_types;
 };
 ConfiguredNames read_names(yaml::Section& file);
 
-// All settings in force, as YAML that read_settings() reads to the same.
+// Returns the settings in effect, as YAML from which read_settings() reads the same values.
 std::string effective_settings_yaml(const Settings& settings, const ConfiguredNames& names);
 
 }  // namespace heronwell::router
--- a/tests/router/config_test.cpp
+++ b/tests/router/config_test.cpp
@@ -43,20 +43,20 @@
       error_of(kBase + "rules: {drain_grace: 64MiB}\n"),
       "f.yaml:6:22: rules.drain_grace: expected a duration with its unit, such as 800ms, not \"64MiB\"");
   EXPECT_EQ(error_of(kBase + "gateway: {number: 3, of: 2}\n"),
-            "f.yaml:6:19: gateway.number: expected a number under gateway.of");
+            "f.yaml:6:19: gateway.number: expected a number less than gateway.of");
   EXPECT_EQ(error_of(kBase + "rules: {max_attempts: many}\n"),
             "f.yaml:6:23: rules.max_attempts: expected a whole number, not \"many\"");
   EXPECT_EQ(error_of(kBase + "allow: {tell: true}\ngateway: {of: 2}\n"),
             "f.yaml:1:1: peers.port: missing; allow.tell needs it");
   EXPECT_EQ(error_of(kBase + "zones: [a, b]\ngateway: {zone: c}\n"),
-            "f.yaml:7:17: gateway.zone: expected one of the zones");
+            "f.yaml:7:17: gateway.zone: expected one of the configured zones");
   EXPECT_EQ(error_of(kBase + "loads: {fields: [cpu]}\n"),
             "f.yaml:6:17: loads.fields: expected names among inflight, queue, util, latency_ms, served, "
             "failed, memory_share, disk_share, not \"cpu\"");
   EXPECT_EQ(error_of("listen: [\n").substr(0, 8), "f.yaml:2");
   EXPECT_EQ(error_of("listen: {port: 1}\nlist: {file: a}\nkinds: {s: {cores: 1}}\nclasses:\n  a: {aim: 2s, "
                      "give_up: 1s}\n"),
-            "f.yaml:5:25: classes.a.give_up: expected at least the aim");
+            "f.yaml:5:25: classes.a.give_up: expected a duration of at least the aim");
 }
 
 TEST(Config, EffectiveSettingsReadToTheSame) {
