--- a/src/bus/endpoint_event_reader.hpp
+++ b/src/bus/endpoint_event_reader.hpp
@@ -1,12 +1,13 @@
-// The platform's event bus: numbered events in, the endpoint list out. No I/O. An answer of the bus is
+// Builds the endpoint list from the numbered events of the platform's event bus. It performs no I/O. A
+// response of the bus has the form
 //
 //   {"offset": NUMBER OF THE LAST EVENT, "batch": [{"offset": NUMBER, "topology": {"whole": BOOL, "hosts":
 //   [HOST...]}}...]}
 //
-// An event whose "whole" is true is a snapshot, any other a delta. Numbers follow each other without a gap; a
-// gap means that events were lost, and only a snapshot makes up for it. An answer that cannot be read
-// completely is dropped completely, so that the next poll asks for it again. The bus's names of a host's
-// fields are mapped to ours here:
+// An event whose "whole" is true is a snapshot, any other event is a delta. Event numbers are consecutive. A
+// gap means that events were lost, and only a snapshot recovers from it. If any part of a response is
+// invalid, the whole response is discarded, so that the next poll requests it again. The fields of a host are
+// mapped to the members of EndpointEntry as follows:
 //
 //   bus       EndpointEntry
 //   host      name
@@ -31,11 +32,11 @@
 
 class EndpointEventReader {
  public:
-  // Applies one answer of the bus. True: the endpoint list has changed. Events that were seen before are
-  // ignored. Throws std::invalid_argument that names the place and what was expected; then nothing has
-  // changed.
+  // Applies one response of the bus and returns whether the endpoint list has changed. Events that were
+  // already applied are ignored. Throws std::invalid_argument with the JSON path and what was expected, and
+  // then leaves the list and the offset unchanged.
   bool apply(std::string_view json);
-  // Of the last event that was applied; the next poll asks for what follows it.
+  // Returns the number of the last event applied; the next poll requests the events after it.
   [[nodiscard]] std::uint64_t offset() const { return state_.offset; }
   [[nodiscard]] std::vector<fleet::EndpointEntry> entries() const;  // without removed engines
 
--- a/src/fleet/endpoint_reader.cpp
+++ b/src/fleet/endpoint_reader.cpp
@@ -15,12 +15,12 @@
 
 using Json = nlohmann::json;
 
-std::string text_at(const Json& object, const char* key) {
+std::string string_or_empty(const Json& object, const char* key) {
   const auto found = object.find(key);
   return found != object.end() && found->is_string() ? found->get<std::string>() : "";
 }
 
-// Meta values are texts in Consul and written by people: what is no number counts as not given.
+// Meta values in Consul are strings written by hand. A value that does not begin with an integer is ignored.
 std::int64_t integer_or_zero(const std::string& text) {
   try {
     return text.empty() ? 0 : std::stoll(text);
@@ -33,69 +33,69 @@
   return check_id == "_node_maintenance" || check_id.starts_with("_service_maintenance");
 }
 
-// Meta.state, where it is given, wins over the checks.
+// Returns the state of an engine. Meta.state, if present, takes precedence over the health checks.
 EndpointState read_state(const Json& checks, const std::string& meta_state) {
   if (meta_state == "draining") return EndpointState::draining;
   if (meta_state == "gone") return EndpointState::removed;
   auto state = EndpointState::ready;
   for (const auto& check : checks) {
-    if (text_at(check, "Status") != "critical") continue;
-    if (!is_maintenance(text_at(check, "CheckID"))) return EndpointState::removed;
+    if (string_or_empty(check, "Status") != "critical") continue;
+    if (!is_maintenance(string_or_empty(check, "CheckID"))) return EndpointState::removed;
     state = EndpointState::draining;
   }
   return state;
 }
 
-// The member, if it is an array; else an empty one.
+// Returns the member if it is an array; else an empty array.
 const Json& array_or_empty(const Json& object, const char* key) {
   static const Json empty = Json::array();
   const auto found = object.find(key);
   return found != object.end() && found->is_array() ? *found : empty;
 }
 
-const Json* object_at(const Json& object, const char* key) {
+const Json* object_or_null(const Json& object, const char* key) {
   const auto found = object.find(key);
   return found != object.end() && found->is_object() ? &*found : nullptr;
 }
 
 void read_meta(const Json& service, EndpointEntry& entry) {
-  const auto* meta = object_at(service, "Meta");
+  const auto* meta = object_or_null(service, "Meta");
   if (meta == nullptr) return;
-  entry.zone = text_at(*meta, "zone");
-  entry.machine_type = text_at(*meta, "kind");
-  entry.cell =
-      static_cast<std::uint16_t>(std::clamp<std::int64_t>(integer_or_zero(text_at(*meta, "cell")), 0, 65535));
-  entry.started_ms = std::max<std::int64_t>(0, integer_or_zero(text_at(*meta, "started_ms")));
+  entry.zone = string_or_empty(*meta, "zone");
+  entry.machine_type = string_or_empty(*meta, "kind");
+  entry.cell = static_cast<std::uint16_t>(
+      std::clamp<std::int64_t>(integer_or_zero(string_or_empty(*meta, "cell")), 0, 65535));
+  entry.started_ms = std::max<std::int64_t>(0, integer_or_zero(string_or_empty(*meta, "started_ms")));
 }
 
 EndpointEntry read_service(const Json& instance, std::size_t index) {
   const auto fail = [index](const char* expected) {
     throw std::invalid_argument(fmt::format("engine list: entry {}: expected {}", index, expected));
   };
-  const auto* service = instance.is_object() ? object_at(instance, "Service") : nullptr;
+  const auto* service = instance.is_object() ? object_or_null(instance, "Service") : nullptr;
   if (service == nullptr) fail("a Service");
   EndpointEntry entry;
-  entry.name = text_at(*service, "ID");
+  entry.name = string_or_empty(*service, "ID");
   if (entry.name.empty()) fail("a Service.ID");
-  entry.host = text_at(*service, "Address");
-  if (const auto* node = object_at(instance, "Node"); entry.host.empty() && node != nullptr)
-    entry.host = text_at(*node, "Address");
+  entry.host = string_or_empty(*service, "Address");
+  if (const auto* node = object_or_null(instance, "Node"); entry.host.empty() && node != nullptr)
+    entry.host = string_or_empty(*node, "Address");
   if (entry.host.empty()) fail("an Address of the Service or its Node");
   const auto port = service->find("Port");
   if (port == service->end() || !port->is_number_integer() || *port < 1 || *port > 65535)
     fail("a Service.Port");
   entry.port = port->get<std::uint16_t>();
   read_meta(*service, entry);
-  const auto* meta = object_at(*service, "Meta");
+  const auto* meta = object_or_null(*service, "Meta");
   entry.state =
-      read_state(array_or_empty(instance, "Checks"), meta == nullptr ? "" : text_at(*meta, "state"));
-  if (const auto* weights = object_at(*service, "Weights"))
+      read_state(array_or_empty(instance, "Checks"), meta == nullptr ? "" : string_or_empty(*meta, "state"));
+  if (const auto* weights = object_or_null(*service, "Weights"))
     if (const auto passing = weights->value("Passing", Json(1)); passing.is_number())
       entry.weight = passing.get<double>();
   return entry;
 }
 
-// What read_state() reads back as this state; a ready engine has no check that fails.
+// Returns health checks from which read_state() derives the state of `entry`. A ready engine has none.
 Json checks_of(const EndpointEntry& entry) {
   auto checks = Json::array();
   if (entry.state == EndpointState::draining)
--- a/src/fleet/endpoint_reader.hpp
+++ b/src/fleet/endpoint_reader.hpp
@@ -1,6 +1,6 @@
-// The endpoint list as it is written outside: a YAML file of our own, or the answer of Consul's health API
-// (/v1/health/service/NAME). No I/O: texts in, entries out, and back. The names that operators and Consul use
-// are mapped to ours here and nowhere else:
+// Parses endpoint lists from their external formats: heronwell's YAML file, and the response of Consul's
+// health API (/v1/health/service/NAME), which can also be written. The functions perform no I/O. Only
+// endpoint_reader.cpp maps the external field names to the members of EndpointEntry:
 //
 //   YAML            Consul                                  EndpointEntry
 //   name            Service.ID                              name
@@ -23,25 +23,27 @@
 
 namespace heronwell::fleet {
 
-// One engine as its source lists it.
+// One engine as listed by its source.
 struct EndpointEntry {
-  std::string name;  // identifies the engine; never reused for another one
+  std::string name;  // identifies the engine; never reused for another engine
   std::string host;  // an IP address
   std::uint16_t port = 0;
-  std::string zone, machine_type;  // names, as the configuration has them
+  std::string zone, machine_type;  // names as in the configuration
   std::uint16_t cell = 0;
   EndpointState state = EndpointState::ready;
-  double weight = 1;            // relative to other engines of its machine type
-  std::int64_t started_ms = 0;  // Unix time of its last start in milliseconds; 0: long ago or not known
+  double weight = 1;            // relative to the other engines of its machine type
+  std::int64_t started_ms = 0;  // Unix time of the last start in milliseconds; 0: long ago or unknown
   bool operator==(const EndpointEntry&) const = default;
 };
 
-// `file`: its name, for errors. Throws yaml::Error with line, column, field and what was expected.
+// Reads heronwell's YAML file. `file`: the file's name, for error messages. Throws yaml::Error with the line,
+// column and field and what was expected.
 std::vector<EndpointEntry> read_yaml(const std::string& text, const std::string& file);
-// Throws std::invalid_argument with the number of the entry and what was expected. A critical check means
-// that the engine is not there, except a maintenance check, which means that it is draining.
+// Reads the response body of Consul's health API. A critical health check marks its engine as removed, except
+// a critical maintenance check, which marks it as draining. Throws std::invalid_argument with the index of
+// the entry and what was expected.
 std::vector<EndpointEntry> read_consul(std::string_view body);
-// The body that Consul's health API gives for these entries; what read_consul() reads.
+// Returns the body that Consul's health API would send for these entries. read_consul() can read it.
 std::string write_consul(const std::vector<EndpointEntry>& entries, const std::string& service);
 
 }  // namespace heronwell::fleet
--- a/src/fleet/endpoint_registry.cpp
+++ b/src/fleet/endpoint_registry.cpp
@@ -8,10 +8,11 @@
 namespace heronwell::fleet {
 namespace {
 
-// How long an engine that is not ready and no longer listed is remembered. Attempts on it, drain grace
-// included, last seconds under the timeouts in use, so that nothing names its id any more by then; a class
-// whose timeout is longer (up to an hour is allowed) would need a collision of two hashes on top to be hurt.
-constexpr Time kRemembered = std::chrono::minutes(10);
+// How long an engine is retained that is neither ready nor listed any more. Under usual timeouts, attempts on
+// it, including the drain grace period, last a few seconds, so nothing refers to its id after this time. A
+// class with a longer timeout (up to an hour is allowed) is affected only if the names of two engines also
+// have the same hash.
+constexpr Time kRemovedEngineRetention = std::chrono::minutes(10);
 
 std::optional<std::uint16_t> index_of(const std::vector<std::string>& names, const std::string& name) {
   const auto found = std::ranges::find(names, name);
@@ -24,7 +25,7 @@
 std::string RejectedEntry::text() const {
   switch (reason) {
     case RejectionReason::id_collision:
-      return name + ": has the number of " + subject;
+      return name + ": has the same id as " + subject;
     case RejectionReason::duplicate_name:
       return name + ": is listed twice";
     case RejectionReason::unknown_zone:
@@ -59,8 +60,9 @@
     if (record(entry, now)) change.changed = true;
     change.update.endpoints.push_back(endpoint_of(entry));
   }
-  // In this order: an engine that was draining for longer than kRemembered when it disappears is forgotten
-  // without counting as a change. It got no requests any more, so nobody needs to hear of it.
+  // The order matters: an engine that was draining for longer than kRemovedEngineRetention when it disappears
+  // from the list is forgotten without counting as a change. It received no requests any more, so no update
+  // is needed.
   forget_removed(listed, now);
   if (mark_unlisted_removed(listed, now)) change.changed = true;
   return change;
@@ -104,7 +106,7 @@
   endpoint.weight = entry.weight;
   if (entry.started_ms > 0) {
     const auto started_at = std::chrono::duration_cast<Time>(std::chrono::milliseconds(entry.started_ms));
-    // A start before this process's clock began is "long ago".
+    // A start before the epoch of this process's clock is reported as zero, which means "long ago".
     endpoint.last_started = std::max(started_at - unix_offset_, Time::zero());
   }
   return endpoint;
@@ -113,19 +115,20 @@
 void EndpointRegistry::forget_removed(const std::set<EngineId>& listed, Time now) {
   std::erase_if(engines_, [&](const auto& one) {
     const auto& [id, known] = one;
-    return !listed.contains(id) && known.not_ready_since && now > *known.not_ready_since + kRemembered;
+    return !listed.contains(id) && known.not_ready_since &&
+           now > *known.not_ready_since + kRemovedEngineRetention;
   });
 }
 
 bool EndpointRegistry::mark_unlisted_removed(const std::set<EngineId>& listed, Time now) {
-  bool any = false;
+  bool changed = false;
   for (auto& [id, known] : engines_) {
     if (listed.contains(id) || known.entry.state == EndpointState::removed) continue;
     known.entry.state = EndpointState::removed;
     if (!known.not_ready_since) known.not_ready_since = now;
-    any = true;
+    changed = true;
   }
-  return any;
+  return changed;
 }
 
 }  // namespace heronwell::fleet
--- a/tests/router/endpoint_registry_test.cpp
+++ b/tests/router/endpoint_registry_test.cpp
@@ -58,7 +58,7 @@
   const auto change = endpoints.apply({engine(a), engine(b), engine("z"), engine("z")}, 1s);
   EXPECT_EQ(change.update.endpoints.size(), 2U);
   ASSERT_EQ(change.rejected.size(), 2U);
-  EXPECT_EQ(change.rejected[0].text(), b + ": has the number of " + a);
+  EXPECT_EQ(change.rejected[0].text(), b + ": has the same id as " + a);
   EXPECT_EQ(change.rejected[1].text(), "z: is listed twice");
   auto far = engine("w");
   far.zone = "moon";
