--- a/src/bench/simulator_codec.cpp
+++ b/src/bench/simulator_codec.cpp
@@ -7,7 +7,8 @@
 
 namespace heronwell::wire {
 // ---- reading ------------------------------------------------------------------------------------------
-// Takes values from the front of a frame, little-endian. All throw Malformed where the frame ends too early.
+// Reads little-endian values from the front of a frame. All take functions throw Malformed if the frame ends
+// too early.
 
 class FrameBytes {
  public:
@@ -24,29 +25,29 @@
   Time take_time() {
     const auto value = take<std::uint64_t>();
     if (value > static_cast<std::uint64_t>(std::numeric_limits<std::int64_t>::max()))
-      throw Malformed("frame: a time is out of range");
+      throw Malformed("frame: time out of range");
     return Time(static_cast<std::int64_t>(value));
   }
   std::span<const std::uint8_t> take_span(std::size_t count) {
-    if (count > bytes_.size() - at_) throw Malformed("frame: a record runs past its frame");
-    const auto out = bytes_.subspan(at_, count);
-    at_ += count;
+    if (count > bytes_.size() - position_) throw Malformed("frame: a record extends beyond the frame");
+    const auto out = bytes_.subspan(position_, count);
+    position_ += count;
     return out;
   }
   std::string take_text(std::size_t count) {
     const auto raw = take_span(count);
     return {raw.begin(), raw.end()};
   }
-  [[nodiscard]] std::size_t left() const { return bytes_.size() - at_; }
+  [[nodiscard]] std::size_t remaining() const { return bytes_.size() - position_; }
 
  private:
   std::span<const std::uint8_t> bytes_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
 namespace {
 
-// ---- the simulator's codes, and nothing but the numbers -----------------------------------------------
+// ---- the simulator's codes ----------------------------------------------------------------------------
 enum EventCode : std::uint8_t {
   start = 10,
   endpoint_update = 20,
@@ -60,7 +61,7 @@
   stop = 100,
   attempt_progress = 110,
   endpoint_list = 120,
-  instance_context = 130,  // the records that follow are of this instance
+  instance_context = 130,  // the records that follow belong to this instance
 };
 
 enum ActionCode : std::uint8_t {
@@ -77,11 +78,11 @@
   log_decision = 110,
 };
 
-// A record that holds gossip for all routers has this in place of a router's index.
+// A gossip record with this value instead of a router's index is for all routers.
 constexpr std::uint32_t kAllRouters = std::numeric_limits<std::uint32_t>::max();
 
-// Bytes of an endpoint in a list, of a reply's header, and of a record of a response that began, which is
-// skipped.
+// Sizes of an endpoint in a list, of the header of a reply, and of the fields of a `response_began` record,
+// which is skipped.
 constexpr std::size_t kEndpointBytes = 23;
 constexpr std::size_t kReplyHeaderBytes = 12;
 constexpr std::size_t kResponseBeganBytes = 4 + 8 + 4 + 2;
@@ -105,7 +106,7 @@
     case 307:
       return AttemptResult::never_started;
     default:
-      throw Malformed("frame: unknown outcome " + std::to_string(code));
+      throw Malformed("frame: unknown attempt result " + std::to_string(code));
   }
 }
 
@@ -118,82 +119,82 @@
 }
 
 Endpoint read_endpoint(FrameBytes& in) {
-  Endpoint entry;
-  entry.engine = in.take<std::uint32_t>();
-  entry.zone = in.take<std::uint16_t>();
-  entry.machine_type = in.take<std::uint16_t>();
-  entry.cell = in.take<std::uint16_t>();
+  Endpoint endpoint;
+  endpoint.engine = in.take<std::uint32_t>();
+  endpoint.zone = in.take<std::uint16_t>();
+  endpoint.machine_type = in.take<std::uint16_t>();
+  endpoint.cell = in.take<std::uint16_t>();
   switch (const auto state = in.take<std::uint8_t>(); state) {
     case 0:
-      entry.state = EndpointState::draining;
+      endpoint.state = EndpointState::draining;
       break;
     case 2:
-      entry.state = EndpointState::ready;
+      endpoint.state = EndpointState::ready;
       break;
     case 3:
-      entry.state = EndpointState::removed;
+      endpoint.state = EndpointState::removed;
       break;
     default:
       throw Malformed("frame: unknown engine state " + std::to_string(state));
   }
-  entry.weight = in.take_float();
-  entry.last_started = in.take_time();
-  return entry;
+  endpoint.weight = in.take_float();
+  endpoint.last_started = in.take_time();
+  return endpoint;
 }
 
 RequestArrived read_request_arrived(FrameBytes& in) {
-  RequestArrived out;
-  out.request = in.take<std::uint32_t>();
-  out.class_index = in.take<std::uint16_t>();
-  out.tenant = in.take<std::uint32_t>();
-  out.order_key = in.take<std::uint64_t>();
-  out.time_left = in.take_time();
-  const Time cost = in.take_time();
-  out.estimated_memory_mb = in.take_float();
+  RequestArrived event;
+  event.request = in.take<std::uint32_t>();
+  event.class_index = in.take<std::uint16_t>();
+  event.tenant = in.take<std::uint32_t>();
+  event.order_key = in.take<std::uint64_t>();
+  event.time_left = in.take_time();
+  const Time estimated_work = in.take_time();
+  event.estimated_memory_mb = in.take_float();
   const double group = in.take_float();
-  out.data_group = group >= 0 && group < 1e9 ? static_cast<std::int64_t>(group) : 0;
+  event.data_group = group >= 0 && group < 1e9 ? static_cast<std::int64_t>(group) : 0;
   const auto flags = in.take<std::uint8_t>();
-  if ((flags & 1U) != 0) out.estimated_work = cost;
-  out.client_retry = (flags & 2U) != 0;
-  return out;
+  if ((flags & 1U) != 0) event.estimated_work = estimated_work;
+  event.client_retry = (flags & 2U) != 0;
+  return event;
 }
 
 AttemptFinished read_attempt_finished(FrameBytes& in) {
-  AttemptFinished out;
-  out.request = in.take<std::uint32_t>();
-  out.attempt = in.take<std::uint16_t>();
-  out.engine = in.take<std::uint32_t>();
-  out.result = read_result(in);
-  out.latency = in.take_time();
-  out.request_finished = in.take<std::uint8_t>() != 0;
+  AttemptFinished event;
+  event.request = in.take<std::uint32_t>();
+  event.attempt = in.take<std::uint16_t>();
+  event.engine = in.take<std::uint32_t>();
+  event.result = read_result(in);
+  event.latency = in.take_time();
+  event.request_finished = in.take<std::uint8_t>() != 0;
   const auto used = in.take<std::uint32_t>();
   if (used != 0) {
-    out.work = std::chrono::milliseconds(used / 4096);
-    out.memory_mb = 4.0 * (used % 4096);
+    event.work = std::chrono::milliseconds(used / 4096);
+    event.memory_mb = 4.0 * (used % 4096);
   }
-  out.load = read_load(in);
-  return out;
+  event.load = read_load(in);
+  return event;
 }
 
 AttemptProgress read_attempt_progress(FrameBytes& in) {
-  AttemptProgress out;
-  out.request = in.take<std::uint32_t>();
+  AttemptProgress event;
+  event.request = in.take<std::uint32_t>();
   const auto kind = in.take<std::uint8_t>();
-  if (kind < 1 || kind > 3) throw Malformed("frame: unknown note " + std::to_string(kind));
-  out.kind = kind == 1 ? ProgressKind::progress : kind == 2 ? ProgressKind::spill : ProgressKind::waiting;
-  out.amount = in.take_float();
-  out.engine = in.take<std::uint32_t>();
-  out.attempt = in.take<std::uint16_t>();
-  return out;
+  if (kind < 1 || kind > 3) throw Malformed("frame: unknown progress kind " + std::to_string(kind));
+  event.kind = kind == 1 ? ProgressKind::progress : kind == 2 ? ProgressKind::spill : ProgressKind::waiting;
+  event.amount = in.take_float();
+  event.engine = in.take<std::uint32_t>();
+  event.attempt = in.take<std::uint16_t>();
+  return event;
 }
 
 HealthCheckResult read_health_check_result(FrameBytes& in) {
-  HealthCheckResult out;
-  out.result = read_result(in);
-  out.engine = in.take<std::uint32_t>();
-  out.latency = in.take_time();
-  out.load = read_load(in);
-  return out;
+  HealthCheckResult event;
+  event.result = read_result(in);
+  event.engine = in.take<std::uint32_t>();
+  event.latency = in.take_time();
+  event.load = read_load(in);
+  return event;
 }
 
 template <std::unsigned_integral T>
@@ -212,7 +213,8 @@
 }
 
 // ---- writing ------------------------------------------------------------------------------------------
-// One function for each action: the code, then its fields in the simulator's order.
+// Writes an action: its code, then its fields in the simulator's order. There is one overload for each
+// action.
 struct ActionWriter {
   std::vector<std::uint8_t>& out;
 
@@ -272,7 +274,7 @@
 std::size_t frame_length(std::span<const std::uint8_t> first_bytes) {
   const std::size_t length = FrameBytes(first_bytes).take<std::uint32_t>();
   if (length < kHeaderBytes || length > kMaxFrameBytes)
-    throw Malformed("frame: a length of " + std::to_string(length) + " makes no sense");
+    throw Malformed("frame: a length of " + std::to_string(length) + " is out of range");
   return length;
 }
 
@@ -284,7 +286,7 @@
   Batch batch;
   batch.now = in.take_time();
   batch.sequence = in.take<std::uint32_t>();
-  batch.records.reserve(std::min<std::size_t>(count, in.left()));
+  batch.records.reserve(std::min<std::size_t>(count, in.remaining()));
   std::optional<std::uint32_t> instance;
   for (std::uint32_t i = 0; i < count; ++i) {
     const auto code = in.take<std::uint8_t>();
@@ -293,14 +295,14 @@
     } else if (code == endpoint_list) {
       read_endpoint_list(in);
     } else if (code == response_began) {
-      in.take_span(kResponseBeganBytes);  // no class streams on the simulator
+      in.take_span(kResponseBeganBytes);  // the simulator streams no responses
     } else {
       auto event = read_event(code, in);
-      if (!instance) throw Malformed("frame: an event before any context");
+      if (!instance) throw Malformed("frame: event before the first instance record");
       batch.records.push_back({*instance, std::move(event)});
     }
   }
-  if (in.left() != 0) throw Malformed("frame: bytes left over");
+  if (in.remaining() != 0) throw Malformed("frame: extra bytes after the last record");
   return batch;
 }
 
@@ -323,7 +325,7 @@
     case client_disconnected:
       return Event(ClientDisconnected{in.take<std::uint32_t>()});
     case timer_fired:
-      in.take<std::uint32_t>();  // the timer's number, which has no meaning here
+      in.take<std::uint32_t>();  // the timer's number, which the decision engine does not use
       return Event(TimerFired{});
     case health_check_result:
       return Event(read_health_check_result(in));
@@ -341,8 +343,10 @@
 void BatchReader::read_endpoint_list(FrameBytes& in) {
   const auto number = in.take<std::uint32_t>();
   const auto rows = in.take<std::uint32_t>();
-  if (number >= lists_.size()) throw Malformed("frame: unknown list number " + std::to_string(number));
-  if (rows > in.left() / kEndpointBytes) throw Malformed("frame: a list runs past its frame");
+  if (number >= lists_.size())
+    throw Malformed("frame: unknown endpoint list number " + std::to_string(number));
+  if (rows > in.remaining() / kEndpointBytes)
+    throw Malformed("frame: an endpoint list extends beyond the frame");
   std::vector<Endpoint> list;
   for (std::uint32_t row = 0; row < rows; ++row) list.push_back(read_endpoint(in));
   lists_[number] = std::move(list);
@@ -352,11 +356,11 @@
   const auto mode = in.take<std::uint8_t>();
   const auto number = in.take<std::uint32_t>();
   in.take<std::uint32_t>();
-  if (mode > 3) throw Malformed("frame: unknown list mode " + std::to_string(mode));
+  if (mode > 3) throw Malformed("frame: unknown endpoint list mode " + std::to_string(mode));
   EndpointUpdate update{static_cast<UpdateKind>(mode), {}};
   if (update.kind == UpdateKind::failed) return update;
   if (number >= lists_.size() || !lists_[number])
-    throw Malformed("frame: unknown list number " + std::to_string(number));
+    throw Malformed("frame: unknown endpoint list number " + std::to_string(number));
   update.endpoints = *lists_[number];
   return update;
 }
--- a/src/bench/simulator_codec.hpp
+++ b/src/bench/simulator_codec.hpp
@@ -1,12 +1,13 @@
-// The simulator's protocol: batches of events in, replies with actions out. No decisions. All numbers are
-// little-endian.
+// Encodes and decodes the simulator's protocol: the simulator sends batches of events and receives replies
+// with actions. All numbers are little-endian; the numbers after the field names below are sizes in bytes.
 //
 //   batch  = length:4 records:4 now:8 sequence:4, then the records; a record is a code:1 and its fields
 //   reply  = length:4 records:4 sequence:4, then the records
 //
-// `length` counts the complete frame. A record belongs to the router instance that the last instance record
-// before it names. Endpoint lists are sent once under a number and referred to by it. The simulator's names
-// and codes are mapped to ours in simulator_codec.cpp, its settings in site/settings.cpp, and nowhere else.
+// `length` is the size of the complete frame. A record belongs to the router instance of the last instance
+// record before it. An endpoint list is sent once with a number, and later records refer to it by that
+// number. Only simulator_codec.cpp maps the simulator's names and codes to heronwell's, and only
+// site/settings.cpp maps its settings.
 #pragma once
 
 #include <array>
@@ -27,12 +28,12 @@
 using site::Malformed;
 using site::parse_settings;
 
-// A router instance begins, or begins anew.
+// A router instance starts or restarts.
 struct Start {
   std::uint64_t seed = 0;
   Settings settings;
 };
-// A router instance ends without a word, as a killed process does.
+// A router instance ends without a shutdown, like a killed process.
 struct Stop {};
 using SimulatorEvent = std::variant<Start, Stop, Event>;
 
@@ -49,21 +50,22 @@
 
 inline constexpr std::size_t kLengthBytes = 4;
 inline constexpr std::size_t kHeaderBytes = 20;                      // of a batch
-inline constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 30;  // a length beyond it is damage
+inline constexpr std::size_t kMaxFrameBytes = std::size_t{1} << 30;  // a larger length is corrupt
 
-// Of a complete frame in bytes, from its first kLengthBytes. Throws Malformed where it is out of range.
+// Returns the size of a complete frame in bytes from its first kLengthBytes bytes. Throws Malformed if it is
+// out of range.
 [[nodiscard]] std::size_t frame_length(std::span<const std::uint8_t> first_bytes);
 
 class FrameBytes;
 
-// Reads batches, and remembers the numbered endpoint lists, which belong to no instance.
+// Reads batches and stores the numbered endpoint lists, which all instances share.
 class BatchReader {
  public:
-  // `frame`: complete, with its length. Throws Malformed, naming what is wrong.
+  // `frame`: a complete frame, including its length. Throws Malformed with the reason.
   [[nodiscard]] Batch read(std::span<const std::uint8_t> frame);
 
  private:
-  static constexpr std::size_t kMaxLists = 16;  // numbers 0 to 15, by the protocol
+  static constexpr std::size_t kMaxLists = 16;  // the protocol numbers lists from 0 to 15
 
   [[nodiscard]] SimulatorEvent read_event(std::uint8_t code, FrameBytes& in) const;
   void read_endpoint_list(FrameBytes& in);
@@ -72,10 +74,10 @@
   std::array<std::optional<std::vector<Endpoint>>, kMaxLists> lists_;
 };
 
-// Collects the actions of one batch's instances into its reply.
+// Builds the reply to one batch from the actions of its instances.
 class ReplyWriter {
  public:
-  void begin_instance(std::uint32_t id);  // the actions that follow are of this one
+  void begin_instance(std::uint32_t id);  // the actions added next belong to this instance
   void add_action(const Action& action);
   [[nodiscard]] std::vector<std::uint8_t> finish(std::uint32_t sequence);
 
--- a/src/site/settings.cpp
+++ b/src/site/settings.cpp
@@ -9,36 +9,36 @@
 
 using nlohmann::json;
 
-// ---- JSON values, checked -----------------------------------------------------------------------------
+// ---- access to JSON values with checks of their types -------------------------------------------------
 
-[[noreturn]] void bad(const std::string& field, const char* what) {
+[[noreturn]] void fail(const std::string& field, const char* what) {
   throw Malformed("settings: " + field + " " + what);
 }
 
-const json& need(const json& in, const char* key) {
-  if (!in.is_object()) bad(key, "is looked for in something that is no object");
+const json& required(const json& in, const char* key) {
+  if (!in.is_object()) fail(key, "cannot be read because its parent is not an object");
   const auto found = in.find(key);
-  if (found == in.end() || found->is_null()) bad(key, "is missing");
+  if (found == in.end() || found->is_null()) fail(key, "is missing");
   return *found;
 }
 
-const json* find(const json& in, const char* key) {
+const json* find_member(const json& in, const char* key) {
   const auto found = in.find(key);
   return found == in.end() || found->is_null() ? nullptr : &*found;
 }
 
-double number(const json& value, const char* key) {
-  if (!value.is_number()) bad(key, "is not a number");
+double as_number(const json& value, const char* key) {
+  if (!value.is_number()) fail(key, "is not a number");
   return value.get<double>();
 }
 
-double number_or(const json& in, const char* key, double otherwise) {
-  const json* value = find(in, key);
-  return value == nullptr ? otherwise : number(*value, key);
+double number_or(const json& in, const char* key, double fallback) {
+  const json* value = find_member(in, key);
+  return value == nullptr ? fallback : as_number(*value, key);
 }
 
 template <std::integral T>
-T whole(const json& value, const char* key) {
+T as_integer(const json& value, const char* key) {
   if (value.is_number_unsigned()) {
     const auto v = value.get<std::uint64_t>();
     if (v <= static_cast<std::uint64_t>(std::numeric_limits<T>::max())) return static_cast<T>(v);
@@ -46,42 +46,42 @@
     const double v = value.get<double>();
     if (v >= 0 && v <= static_cast<double>(std::numeric_limits<T>::max()) / 2) return static_cast<T>(v);
   }
-  bad(key, "is not a whole number in range");
+  fail(key, "is not a whole number in range");
 }
 
 template <std::integral T>
-T whole_or(const json& in, const char* key, T otherwise) {
-  const json* value = find(in, key);
-  return value == nullptr ? otherwise : whole<T>(*value, key);
+T integer_or(const json& in, const char* key, T fallback) {
+  const json* value = find_member(in, key);
+  return value == nullptr ? fallback : as_integer<T>(*value, key);
 }
 
-Time time(const json& value, const char* key) { return Time(whole<std::int64_t>(value, key)); }
+Time as_time(const json& value, const char* key) { return Time(as_integer<std::int64_t>(value, key)); }
 
-Time time_or(const json& in, const char* key, Time otherwise) {
-  const json* value = find(in, key);
-  return value == nullptr ? otherwise : time(*value, key);
+Time time_or(const json& in, const char* key, Time fallback) {
+  const json* value = find_member(in, key);
+  return value == nullptr ? fallback : as_time(*value, key);
 }
 
-bool flag_or(const json& in, const char* key, bool otherwise) {
-  const json* value = find(in, key);
-  if (value == nullptr) return otherwise;
-  if (!value->is_boolean()) bad(key, "is not true or false");
+bool boolean_or(const json& in, const char* key, bool fallback) {
+  const json* value = find_member(in, key);
+  if (value == nullptr) return fallback;
+  if (!value->is_boolean()) fail(key, "is not true or false");
   return value->get<bool>();
 }
 
-std::string text_or(const json& in, const char* key, const char* otherwise) {
-  const json* value = find(in, key);
-  if (value == nullptr) return otherwise;
-  if (!value->is_string()) bad(key, "is not a text");
+std::string string_or(const json& in, const char* key, const char* fallback) {
+  const json* value = find_member(in, key);
+  if (value == nullptr) return fallback;
+  if (!value->is_string()) fail(key, "is not a string");
   return value->get<std::string>();
 }
 
-const json& list(const json& value, const char* key) {
-  if (!value.is_array()) bad(key, "is not a list");
+const json& as_array(const json& value, const char* key) {
+  if (!value.is_array()) fail(key, "is not a list");
   return value;  // NOLINT(bugprone-return-const-ref-from-parameter): part of the document, which outlives it
 }
 
-// ---- the settings: one function for each part, the name outside beside the member that it fills -------
+// ---- one function for each part of the settings, which maps external names to members -----------------
 template <class T>
 struct NamedValue {
   const char* text;
@@ -89,16 +89,16 @@
 };
 
 template <class T, std::size_t N>
-T value_named(const std::string& text, const NamedValue<T> (&names)[N], const char* key) {
+T value_with_name(const std::string& text, const NamedValue<T> (&names)[N], const char* key) {
   for (const auto& name : names) {
     if (text == name.text) return name.value;
   }
-  bad(key, "holds an unknown word");
+  fail(key, "has an unknown value");
 }
 
-constexpr NamedValue<Idempotency> kIdempotency[] = {{"safe", Idempotency::idempotent},
-                                                    {"keyed", Idempotency::idempotency_key},
-                                                    {"unsafe", Idempotency::not_idempotent}};
+constexpr NamedValue<Idempotency> kIdempotencies[] = {{"safe", Idempotency::idempotent},
+                                                      {"keyed", Idempotency::idempotency_key},
+                                                      {"unsafe", Idempotency::not_idempotent}};
 constexpr NamedValue<DeduplicationScope> kDeduplicationScopes[] = {
     {"all", DeduplicationScope::all}, {"zone", DeduplicationScope::zone}, {"cell", DeduplicationScope::cell}};
 constexpr NamedValue<MemoryShortagePolicy> kMemoryShortagePolicies[] = {
@@ -112,25 +112,27 @@
     {"x0", LoadField::memory_share},       {"x1", LoadField::disk_share}};
 
 std::optional<std::vector<std::uint16_t>> index_list(const json& in, const char* key) {
-  const json* value = find(in, key);
+  const json* value = find_member(in, key);
   if (value == nullptr) return std::nullopt;
   std::vector<std::uint16_t> out;
-  for (const json& item : list(*value, key)) out.push_back(whole<std::uint16_t>(item, key));
+  for (const json& item : as_array(*value, key)) out.push_back(as_integer<std::uint16_t>(item, key));
   return out;
 }
 
 ClassSettings parse_class(const json& in) {
   ClassSettings out;
-  out.name = text_or(in, "name", "");
-  out.latency_objective = time(need(in, "aim"), "classes[].aim");
+  out.name = string_or(in, "name", "");
+  out.latency_objective = as_time(required(in, "aim"), "classes[].aim");
   out.latency_objective_per_work = number_or(in, "aim-stretch", 0);
-  out.timeout = time(need(in, "give-up"), "classes[].give-up");
+  out.timeout = as_time(required(in, "give-up"), "classes[].give-up");
   out.priority_weight = number_or(in, "credit", 1);
   out.late_weight_ratio = number_or(in, "late-share", 0);
-  out.idempotency = value_named(text_or(in, "semantics", "unsafe"), kIdempotency, "classes[].semantics");
-  out.deduplication_scope = value_named(text_or(in, "group", "all"), kDeduplicationScopes, "classes[].group");
+  out.idempotency =
+      value_with_name(string_or(in, "semantics", "unsafe"), kIdempotencies, "classes[].semantics");
+  out.deduplication_scope =
+      value_with_name(string_or(in, "group", "all"), kDeduplicationScopes, "classes[].group");
   out.deduplication_window = time_or(in, "window", Time::zero());
-  out.ordered_by_key = flag_or(in, "in-order", false);
+  out.ordered_by_key = boolean_or(in, "in-order", false);
   out.allowed_zones = index_list(in, "zones-allowed");
   out.allowed_machine_types = index_list(in, "bound-to");
   return out;
@@ -139,47 +141,49 @@
 template <class Set>
 void for_each_item(const json* values, std::size_t count, const char* key, Set set) {
   if (values == nullptr) return;
-  list(*values, key);
+  as_array(*values, key);
   for (std::size_t i = 0; i < count && i < values->size(); ++i) set(i, (*values)[i]);
 }
 
 void parse_resources(const json& in, Settings& out) {
   const auto classes = out.classes.size();
-  const auto kinds = out.machine_types.size();
-  for_each_item(find(in, "width-by-class"), classes, "width-by-class", [&](std::size_t i, const json& v) {
-    out.classes[i].threads = whole<unsigned>(v, "width-by-class");
-  });
+  const auto machine_types = out.machine_types.size();
+  for_each_item(find_member(in, "width-by-class"), classes, "width-by-class",
+                [&](std::size_t i, const json& v) {
+                  out.classes[i].threads = as_integer<unsigned>(v, "width-by-class");
+                });
   const auto boolean = [](const json& v, const char* key) {
-    if (!v.is_boolean()) bad(key, "is not true or false");
+    if (!v.is_boolean()) fail(key, "is not true or false");
     return v.get<bool>();
   };
-  for_each_item(find(in, "loads"), classes, "loads",
+  for_each_item(find_member(in, "loads"), classes, "loads",
                 [&](std::size_t i, const json& v) { out.classes[i].holds_data_group = boolean(v, "loads"); });
-  for_each_item(find(in, "class-waits"), classes, "class-waits", [&](std::size_t i, const json& v) {
+  for_each_item(find_member(in, "class-waits"), classes, "class-waits", [&](std::size_t i, const json& v) {
     out.classes[i].waits_for_data_group = boolean(v, "class-waits");
   });
-  for_each_item(find(in, "cpu-of-kind"), kinds, "cpu-of-kind",
-                [&](std::size_t i, const json& v) { out.machine_types[i].cores = number(v, "cpu-of-kind"); });
-  for_each_item(find(in, "ram-of-kind-mb"), kinds, "ram-of-kind-mb", [&](std::size_t i, const json& v) {
-    out.machine_types[i].memory_mb = number(v, "ram-of-kind-mb");
-  });
-  out.memory_grants_enabled = flag_or(in, "grants", false);
-  out.engine_priorities_enabled = flag_or(in, "takes-priority", false);
-  out.cost_reported = flag_or(in, "tells-cost", false);
+  for_each_item(
+      find_member(in, "cpu-of-kind"), machine_types, "cpu-of-kind",
+      [&](std::size_t i, const json& v) { out.machine_types[i].cores = as_number(v, "cpu-of-kind"); });
+  for_each_item(
+      find_member(in, "ram-of-kind-mb"), machine_types, "ram-of-kind-mb",
+      [&](std::size_t i, const json& v) { out.machine_types[i].memory_mb = as_number(v, "ram-of-kind-mb"); });
+  out.memory_grants_enabled = boolean_or(in, "grants", false);
+  out.engine_priorities_enabled = boolean_or(in, "takes-priority", false);
+  out.cost_reported = boolean_or(in, "tells-cost", false);
   out.max_memory_grant_ratio = number_or(in, "max-grant-share", 1);
   out.progress_interval = time_or(in, "progress-pace", Time::zero());
   out.memory_shortage_policy =
-      value_named(text_or(in, "out-of-memory", "line_up"), kMemoryShortagePolicies, "out-of-memory");
+      value_with_name(string_or(in, "out-of-memory", "line_up"), kMemoryShortagePolicies, "out-of-memory");
 }
 
 void parse_limits(const json& in, Settings& out) {
-  out.max_attempts = whole_or<unsigned>(in, "max-attempts", 1);
-  out.max_open_requests = whole_or<std::size_t>(in, "most-held", 0);
-  out.cancellation_enabled = flag_or(in, "cancel", false);
-  out.health_checks_enabled = flag_or(in, "probing", false);
-  out.gossip_enabled = flag_or(in, "may-tell", false);
-  out.hedging_enabled = flag_or(in, "second-copies", false);
-  out.retry_after_enabled = flag_or(in, "retry-after", false);
+  out.max_attempts = integer_or<unsigned>(in, "max-attempts", 1);
+  out.max_open_requests = integer_or<std::size_t>(in, "most-held", 0);
+  out.cancellation_enabled = boolean_or(in, "cancel", false);
+  out.health_checks_enabled = boolean_or(in, "probing", false);
+  out.gossip_enabled = boolean_or(in, "may-tell", false);
+  out.hedging_enabled = boolean_or(in, "second-copies", false);
+  out.retry_after_enabled = boolean_or(in, "retry-after", false);
   out.max_retry_after = time_or(in, "max-retry-after", Time::zero());
 }
 
@@ -192,20 +196,20 @@
   out.slow_start_overload_window = time_or(in, "fall", Time::zero());
   out.ordering_quiet_period = time_or(in, "turn-gap", Time::zero());
   out.endpoint_poll_deadline = time_or(in, "ask-within", Time::zero());
-  if (find(in, "resend-span") != nullptr) {
+  if (find_member(in, "resend-span") != nullptr) {
     out.retry_budget = RetryBudget{time_or(in, "resend-span", Time::zero()), number_or(in, "free-resends", 0),
                                    number_or(in, "further-ratio", 0)};
   }
 }
 
 void parse_load_reports(const json& in, Settings& out) {
-  const std::string how = text_or(in, "how", "silent");
+  const std::string how = string_or(in, "how", "silent");
   out.load_reports_in_responses = how == "piggyback";
   if (how == "silent") return;
-  const json* fields = find(in, "fields");
+  const json* fields = find_member(in, "fields");
   if (fields == nullptr) return;
-  for (const json& field : list(*fields, "report.fields")) {
-    if (!field.is_string()) bad("report.fields", "is not a list of texts");
+  for (const json& field : as_array(*fields, "report.fields")) {
+    if (!field.is_string()) fail("report.fields", "is not a list of strings");
     LoadField value = LoadField::unknown;
     for (const auto& name : kLoadFields) {
       if (field.get<std::string>() == name.text) value = name.value;
@@ -220,32 +224,33 @@
   const json in = json::parse(text, nullptr, false);
   if (in.is_discarded() || !in.is_object()) throw Malformed("settings: not a JSON object");
   Settings out;
-  out.router_count = whole<unsigned>(need(in, "balancers"), "balancers");
-  out.router_index = whole_or<unsigned>(in, "me", 0);
-  out.zone = whole_or<std::uint16_t>(in, "az", 0);
+  out.router_count = as_integer<unsigned>(required(in, "balancers"), "balancers");
+  out.router_index = integer_or<unsigned>(in, "me", 0);
+  out.zone = integer_or<std::uint16_t>(in, "az", 0);
   out.min_call_interval = time_or(in, "step", out.min_call_interval);
-  for (const json& item : list(need(in, "classes"), "classes")) out.classes.push_back(parse_class(item));
-  for (const json& item : list(need(in, "kinds"), "kinds")) {
-    if (!item.is_string()) bad("kinds", "holds something that is no text");
+  for (const json& item : as_array(required(in, "classes"), "classes"))
+    out.classes.push_back(parse_class(item));
+  for (const json& item : as_array(required(in, "kinds"), "kinds")) {
+    if (!item.is_string()) fail("kinds", "contains an element that is not a string");
     out.machine_types.push_back({item.get<std::string>(), 1, 0});
   }
-  if (const json* tenants = find(in, "tenants"); tenants != nullptr) {
-    for (const json& item : list(*tenants, "tenants")) {
-      if (!item.is_object()) bad("tenants", "holds something that is no object");
+  if (const json* tenants = find_member(in, "tenants"); tenants != nullptr) {
+    for (const json& item : as_array(*tenants, "tenants")) {
+      if (!item.is_object()) fail("tenants", "contains an element that is not an object");
       out.tenants.push_back(
-          {text_or(item, "name", ""), number_or(item, "portion", 0), number_or(item, "quota-rps", 0)});
+          {string_or(item, "name", ""), number_or(item, "portion", 0), number_or(item, "quota-rps", 0)});
     }
   }
-  if (const json* zones = find(in, "zones"); zones != nullptr)
-    out.zone_count = static_cast<unsigned>(list(*zones, "zones").size());
+  if (const json* zones = find_member(in, "zones"); zones != nullptr)
+    out.zone_count = static_cast<unsigned>(as_array(*zones, "zones").size());
   out.over_quota_weight = number_or(in, "over-share-worth", 1);
-  if (const json* prices = find(in, "prices"); prices != nullptr)
+  if (const json* prices = find_member(in, "prices"); prices != nullptr)
     out.cross_zone_cost = number_or(*prices, "cross-zone", 0);
-  out.poll_endpoints = text_or(in, "membership-mode", "pushed") == "on_request";
-  parse_limits(need(in, "ceilings"), out);
-  parse_timing_rules(need(in, "safety"), out);
-  parse_resources(need(in, "family-info"), out);
-  if (const json* report = find(in, "report"); report != nullptr) parse_load_reports(*report, out);
+  out.poll_endpoints = string_or(in, "membership-mode", "pushed") == "on_request";
+  parse_limits(required(in, "ceilings"), out);
+  parse_timing_rules(required(in, "safety"), out);
+  parse_resources(required(in, "family-info"), out);
+  if (const json* report = find_member(in, "report"); report != nullptr) parse_load_reports(*report, out);
   return out;
 }
 
--- a/src/site/settings.hpp
+++ b/src/site/settings.hpp
@@ -1,9 +1,9 @@
-// The settings object, in JSON, that the simulator's first message and the platform's configuration both
-// hold. It is read here, once, into the decision engine's Settings; no name of it goes further in. All times
-// are whole nanoseconds. Keys that are not known are ignored, as the platform may have more of them than this
-// router needs; what is missing has a default (a class without `semantics` is not idempotent), except
-// `balancers`, `classes`, `kinds`, `ceilings`, `safety`, `family-info` and a class's `aim` and `give-up`,
-// which must be there.
+// Parses the JSON settings object that both the simulator's first message and the platform's configuration
+// contain, and converts it to the decision engine's Settings. The key names are used nowhere else. All times
+// are integers in nanoseconds. Unknown keys are ignored, because the platform may have more settings than
+// this router needs. A missing key has a default (a class without `semantics` is not idempotent), except the
+// required keys `balancers`, `classes`, `kinds`, `ceilings`, `safety`, `family-info` and `aim` and `give-up`
+// of each class.
 //
 //   object           key -> member of Settings
 //   (top)            balancers router_count, me router_index, az zone, step min_call_interval,
@@ -42,7 +42,7 @@
   using std::runtime_error::runtime_error;
 };
 
-// Throws Malformed, naming the field and what is wrong with it.
+// Throws Malformed with the field and the reason why it is invalid.
 [[nodiscard]] Settings parse_settings(std::string_view text);
 
 }  // namespace heronwell::site
--- a/tests/site/stored_settings_test.cpp
+++ b/tests/site/stored_settings_test.cpp
@@ -1,7 +1,7 @@
-// Settings as they are stored at sites today, read by the router of today. The names outside (in the
-// platform's JSON, in our YAML) are part of the interface and stay, whatever the members that they fill are
-// called. Each text below holds every key that exists, with a value that differs from the default; each
-// member is compared.
+// Guards against a renamed member of Settings that changes the external name of a setting, which would make
+// the router ignore or reject settings stored at sites. The keys in the platform's JSON and in heronwell's
+// YAML are part of the interface. Each text below contains every existing key with a value other than its
+// default, and the tests compare every member.
 #include <gtest/gtest.h>
 
 #include "base/yaml.hpp"
@@ -55,7 +55,7 @@
 over_share_worth: 0.25
 )";
 
-// What both texts say alike.
+// Checks the members that have the same value in both texts.
 void expect_common(const Settings& s) {
   EXPECT_EQ(s.router_count, 7U);
   EXPECT_EQ(s.router_index, 3U);
@@ -122,7 +122,7 @@
 
 using enum LoadField;
 
-TEST(StoredSettings, OfThePlatformFillEveryMember) {
+TEST(StoredSettings, OfThePlatformSetEveryMember) {
   const auto s = site::parse_settings(kStoredJson);
   expect_common(s);
   EXPECT_EQ(s.min_call_interval, Time(6ms));
@@ -143,7 +143,7 @@
                                         memory_share, disk_share, unknown}));
 }
 
-TEST(StoredSettings, OfAConfigurationFileFillEveryMember) {
+TEST(StoredSettings, OfAConfigurationFileSetEveryMember) {
   auto file = yaml::Section::text(kStoredYaml, "stored.yaml");
   const auto s = router::read_settings(file);
   file.close();  // throws if a key was not read
@@ -160,7 +160,7 @@
                                         memory_share, disk_share}));
 }
 
-TEST(StoredSettings, NameEachPolicyAsTheyAlwaysDid) {
+TEST(StoredSettings, KeepTheNamesOfMemoryShortagePolicies) {
   const auto json_policy = [](const std::string& name) {
     return site::parse_settings(R"({"balancers": 1, "classes": [], "kinds": [], "ceilings": {}, "safety": {},
                                     "family-info": {"out-of-memory": ")" +
