--- a/fuzz/platform_fuzz.cpp
+++ b/fuzz/platform_fuzz.cpp
@@ -76,7 +76,7 @@
       bus_of(bytes);
       break;
     default:
-      (void)sql::table_group(bytes);
+      (void)sql::find_data_group(bytes);
   }
   return 0;
 }
--- a/fuzz/sql_fuzz.cpp
+++ b/fuzz/sql_fuzz.cpp
@@ -36,7 +36,7 @@
     rest += bytes.substr(at, piece);
     while (true) {
       const auto used = session.feed(rest, log, never);
-      if (used > rest.size() || session.wants() > 4096) std::abort();
+      if (used > rest.size() || session.next_message_bytes() > 4096) std::abort();
       rest.erase(0, used);
       // The router asks as soon as it may; the answer stands in the bytes already.
       if (session.reusable() && !rest.empty())
--- a/src/base/bytes.hpp
+++ b/src/base/bytes.hpp
@@ -21,7 +21,7 @@
   put_u32(out, static_cast<std::uint32_t>(value));
 }
 // `text`, which contains no NUL byte, and a NUL byte after it.
-inline void put_text(std::string& out, std::string_view text) {
+inline void put_nul_terminated(std::string& out, std::string_view text) {
   out.append(text);
   out.push_back('\0');
 }
@@ -52,7 +52,7 @@
     return front;
   }
   // Up to a NUL byte, which is consumed and not returned.
-  std::string_view text() {
+  std::string_view nul_terminated() {
     const auto end = rest_.find('\0');
     if (end == std::string_view::npos) return fail(), std::string_view{};
     const auto front = rest_.substr(0, end);
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-bool json_number(std::string_view text) {
+bool is_json_number(std::string_view text) {
   std::size_t at = 0;
   const auto digits = [&] {
     const auto from = at;
--- a/src/graphql/execute.cpp
+++ b/src/graphql/execute.cpp
@@ -684,13 +684,13 @@
     if (wrong != std::errc{} || end != text.data() + text.size()) return false;
     return out_ += std::to_string(number), true;
   }
-  if (type == "Float") return json_number(text) && (out_ += text, true);
+  if (type == "Float") return is_json_number(text) && (out_ += text, true);
   if (type == "Boolean") return boolean();
   const auto* of = bound_.schema().type(type);
   if (of->kind == TypeKind::enumeration) return of->value(text) && (put_json_text(out_, text), true);
   // A scalar of the operator's own: numbers and JSON as they are, at any size.
   if (engine_type == kBool && boolean()) return true;
-  if (sql::number_type(engine_type) && json_number(text)) return out_ += text, true;
+  if (sql::is_number_type(engine_type) && is_json_number(text)) return out_ += text, true;
   if (engine_type == kJson || engine_type == kJsonb) {
     try {
       put_json(out_, read_json(text));
--- a/src/path/frame_client_connection.cpp
+++ b/src/path/frame_client_connection.cpp
@@ -139,7 +139,7 @@
   spec.request.class_index = static_cast<ClassIndex>(cls - settings.classes.begin());
   spec.request.tenant = static_cast<std::uint32_t>(tenant - settings.tenants.begin());
   spec.request.time_left = std::chrono::milliseconds(parsed.timeout_ms);
-  spec.request.data_group = sql::table_group(frame.body).value_or(0);
+  spec.request.data_group = sql::find_data_group(frame.body).value_or(0);
   shard_.submit(client_request, std::move(spec));
 }
 
--- a/src/path/shard.cpp
+++ b/src/path/shard.cpp
@@ -409,7 +409,7 @@
                         bool cancelled) {
   const bool cancelling = attempt->state == AttemptState::cancelling;
   if (attempt->state == AttemptState::finished || !apply(attempt->state, AttemptEvent::finish)) return;
-  const auto verdict = sql::judge(seen, code, config_.engines.never_began, cancelled);
+  const auto verdict = sql::classify(seen, code, config_.engines.never_began, cancelled);
   if (attempt->ticket == 0)
     return publish(HealthCheckFinished{attempt->engine,
                                        verdict.client_gets_error ? AttemptResult::error : verdict.result,
--- a/src/rehearsal/engine_core.cpp
+++ b/src/rehearsal/engine_core.cpp
@@ -164,7 +164,7 @@
   }
   const auto number = std::to_string(row + 1);
   if (plan.column.type == 16) return "t";
-  if (sql::number_type(plan.column.type)) return number;
+  if (sql::is_number_type(plan.column.type)) return number;
   return plan.column.name + " " + number;
 }
 
--- a/src/router/json_rows.cpp
+++ b/src/router/json_rows.cpp
@@ -43,7 +43,7 @@
       out += "null";
     else if (column_types_[i] == kBoolType && (*value == "t" || *value == "f"))
       out += *value == "t" ? "true" : "false";
-    else if (sql::number_type(column_types_[i]) && json_number(*value))
+    else if (sql::is_number_type(column_types_[i]) && is_json_number(*value))
       out += *value;
     else
       put_json_text(out, *value);
--- a/src/sql/group.cpp
+++ b/src/sql/group.cpp
@@ -81,7 +81,7 @@
 
 }  // namespace
 
-std::optional<std::int64_t> table_group(std::string_view in) {
+std::optional<std::int64_t> find_data_group(std::string_view in) {
   std::size_t at = 0;
   while ((at = past_all(in, at)) < in.size()) {
     std::string name;
--- a/src/sql/group.hpp
+++ b/src/sql/group.hpp
@@ -9,6 +9,6 @@
 
 namespace heronwell::sql {
 
-[[nodiscard]] std::optional<std::int64_t> table_group(std::string_view statement);
+[[nodiscard]] std::optional<std::int64_t> find_data_group(std::string_view statement);
 
 }  // namespace heronwell::sql
--- a/src/sql/protocol.cpp
+++ b/src/sql/protocol.cpp
@@ -22,7 +22,7 @@
     for (const auto& [key, value] : {std::pair{'S', text.severity}, std::pair{'V', text.severity},
                                      std::pair{'C', text.code}, std::pair{'M', text.message}}) {
       out.push_back(key);
-      put_text(out, value);
+      put_nul_terminated(out, value);
     }
     out.push_back('\0');
   });
@@ -58,8 +58,8 @@
   message(out, 0, [&] {
     put_u32(out, kProtocol);
     for (const auto& [name, value] : parameters) {
-      put_text(out, name);
-      put_text(out, value);
+      put_nul_terminated(out, name);
+      put_nul_terminated(out, value);
     }
     out.push_back('\0');
   });
@@ -72,19 +72,19 @@
   });
 }
 void put_query(std::string& out, std::string_view statement) {
-  message(out, 'Q', [&] { put_text(out, statement); });
+  message(out, 'Q', [&] { put_nul_terminated(out, statement); });
 }
 void put_parse(std::string& out, std::string_view statement) {
   message(out, 'P', [&] {
-    put_text(out, "");
-    put_text(out, statement);
+    put_nul_terminated(out, "");
+    put_nul_terminated(out, statement);
     put_u16(out, 0);  // the engine infers types
   });
 }
 void put_bind(std::string& out, const std::vector<std::optional<std::string>>& parameters) {
   message(out, 'B', [&] {
-    put_text(out, "");
-    put_text(out, "");
+    put_nul_terminated(out, "");
+    put_nul_terminated(out, "");
     put_u16(out, 0);  // all as text
     put_u16(out, static_cast<unsigned>(parameters.size()));
     for (const auto& one : parameters) {
@@ -97,12 +97,12 @@
 void put_describe(std::string& out) {
   message(out, 'D', [&] {
     out.push_back('P');
-    put_text(out, "");
+    put_nul_terminated(out, "");
   });
 }
 void put_execute(std::string& out) {
   message(out, 'E', [&] {
-    put_text(out, "");
+    put_nul_terminated(out, "");
     put_u32(out, 0);  // all rows
   });
 }
@@ -117,8 +117,8 @@
 }
 void put_parameter(std::string& out, std::string_view name, std::string_view value) {
   message(out, 'S', [&] {
-    put_text(out, name);
-    put_text(out, value);
+    put_nul_terminated(out, name);
+    put_nul_terminated(out, value);
   });
 }
 void put_key(std::string& out, std::uint32_t process, std::uint32_t secret) {
@@ -134,7 +134,7 @@
   message(out, 'T', [&] {
     put_u16(out, static_cast<unsigned>(columns.size()));
     for (const auto& column : columns) {
-      put_text(out, column.name);
+      put_nul_terminated(out, column.name);
       put_u32(out, 0);  // no table
       put_u16(out, 0);
       put_u32(out, column.type);
@@ -154,7 +154,7 @@
   });
 }
 void put_complete(std::string& out, std::string_view tag) {
-  message(out, 'C', [&] { put_text(out, tag); });
+  message(out, 'C', [&] { put_nul_terminated(out, tag); });
 }
 void put_parse_complete(std::string& out) {
   message(out, '1', [] {});
@@ -175,7 +175,7 @@
   ByteReader in(payload);
   ErrorText text;
   while (const char key = static_cast<char>(in.u8())) {
-    const auto value = in.text();
+    const auto value = in.nul_terminated();
     if (key == 'S') text.severity = value;
     if (key == 'C') text.code = value;
     if (key == 'M') text.message = value;
@@ -185,8 +185,8 @@
 }
 std::optional<std::pair<std::string_view, std::string_view>> read_parameter(std::string_view payload) {
   ByteReader in(payload);
-  const auto name = in.text();
-  const auto value = in.text();
+  const auto name = in.nul_terminated();
+  const auto value = in.nul_terminated();
   if (!in.done()) return std::nullopt;
   return std::pair{name, value};
 }
@@ -201,7 +201,7 @@
   ByteReader in(payload);
   std::vector<Column> columns(std::min<std::size_t>(in.u16(), payload.size() / 19));
   for (auto& column : columns) {
-    column.name = std::string(in.text());
+    column.name = std::string(in.nul_terminated());
     in.take(6);
     column.type = in.u32();
     in.take(8);
@@ -211,23 +211,23 @@
 }
 std::optional<std::string_view> read_text(std::string_view payload) {
   ByteReader in(payload);
-  const auto text = in.text();
+  const auto text = in.nul_terminated();
   if (!in.done()) return std::nullopt;
   return text;
 }
 
 std::optional<std::string_view> read_parse(std::string_view payload) {
   ByteReader in(payload);
-  in.text();
-  const auto text = in.text();
+  in.nul_terminated();
+  const auto text = in.nul_terminated();
   in.take(std::size_t{4} * in.u16());
   if (!in.done()) return std::nullopt;
   return text;
 }
 std::optional<std::vector<std::optional<std::string>>> read_bind(std::string_view payload) {
   ByteReader in(payload);
-  in.text();
-  in.text();
+  in.nul_terminated();
+  in.nul_terminated();
   for (auto formats = in.u16(); formats > 0 && in.ok(); --formats)
     if (in.u16() != 0) return std::nullopt;
   std::vector<std::optional<std::string>> out;
@@ -269,9 +269,9 @@
     found.secret = in.u32();
   } else if (found.code != kSslCode && found.code != kGssCode) {
     while (true) {
-      const auto name = in.text();
+      const auto name = in.nul_terminated();
       if (name.empty()) break;
-      const auto value = in.text();
+      const auto value = in.nul_terminated();
       found.parameters.emplace_back(std::string(name), std::string(value));
     }
   }
--- a/src/sql/protocol.hpp
+++ b/src/sql/protocol.hpp
@@ -52,7 +52,7 @@
   std::uint32_t type = 25;  // object id of its data type; 25: text
 };
 // int8, int2, int4, oid, float4, float8: their text is a JSON number, but for NaN and infinities.
-inline bool number_type(std::uint32_t type) {
+inline bool is_number_type(std::uint32_t type) {
   return type == 20 || type == 21 || type == 23 || type == 26 || type == 700 || type == 701;
 }
 using Value = std::optional<std::string_view>;  // none: NULL
--- a/src/sql/result.cpp
+++ b/src/sql/result.cpp
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-Verdict judge(StatementResult seen, std::string_view code, const std::vector<std::string>& never_began,
-              bool cancel_sent) {
+Classification classify(StatementResult seen, std::string_view code,
+                        const std::vector<std::string>& never_began, bool cancel_sent) {
   switch (seen) {
     case StatementResult::not_connected:
       return {AttemptResult::not_connected};
--- a/src/sql/result.hpp
+++ b/src/sql/result.hpp
@@ -38,7 +38,7 @@
   deadline_passed,  // no response within the attempt's deadline
 };
 
-struct Verdict {
+struct Classification {
   AttemptResult result = AttemptResult::never_started;
   // With `served`: the error is the statement's own; the client gets it, nothing is retried, the engine is
   // not blamed.
@@ -48,7 +48,7 @@
 // `code`: SQLSTATE, for the two errors; else ignored. `never_began`: codes by which the engine's
 // documentation says that a statement so answered never began; no other code proves it. `cancel_sent`:
 // whether this router asked to cancel it.
-Verdict judge(StatementResult seen, std::string_view code, const std::vector<std::string>& never_began,
-              bool cancel_sent);
+Classification classify(StatementResult seen, std::string_view code,
+                        const std::vector<std::string>& never_began, bool cancel_sent);
 
 }  // namespace heronwell::sql
--- a/src/sql/session.hpp
+++ b/src/sql/session.hpp
@@ -54,7 +54,7 @@
   // Reads complete messages and reports them to `events`; returns the number of bytes that were used. state()
   // is `over` after malformed input. Stops early once `pause` is true; the rest is to be fed again.
   std::size_t feed(std::string_view in, SessionEvents& events, const bool& pause);
-  [[nodiscard]] std::size_t wants() const {
+  [[nodiscard]] std::size_t next_message_bytes() const {
     return wants_;
   }  // size of the next message in bytes, if known; else 0
 
--- a/tests/protocol/platform_test.cpp
+++ b/tests/protocol/platform_test.cpp
@@ -233,7 +233,7 @@
 }
 
 TEST(DataGroup, IsTheNumberOfTheSchemaAndOfNothingElse) {
-  const auto group = [](const char* text) { return sql::table_group(text).value_or(-1); };
+  const auto group = [](const char* text) { return sql::find_data_group(text).value_or(-1); };
   EXPECT_EQ(group("select * from sales_17.orders"), 17);
   EXPECT_EQ(group("SELECT id, n -- was: from mart_1.old\nFROM mart_9.lines"), 9);
   EXPECT_EQ(group("select a.id, 'from lake_0.decoy' as note from lake_3.t a"), 3);
--- a/tests/protocol/sql_test.cpp
+++ b/tests/protocol/sql_test.cpp
@@ -77,7 +77,7 @@
 class ResultTable : public testing::TestWithParam<Row> {};
 TEST_P(ResultTable, Holds) {
   const auto& row = GetParam();
-  const auto verdict = judge(row.seen, row.code, {"53301"}, row.cancel);
+  const auto verdict = classify(row.seen, row.code, {"53301"}, row.cancel);
   EXPECT_EQ(verdict.result, row.result);
   EXPECT_EQ(verdict.client_gets_error, row.clients_error);
 }
