--- a/src/base/address.hpp
+++ b/src/base/address.hpp
@@ -1,4 +1,4 @@
-// "host:port" as outside systems write it.
+// Parses network addresses in the form "host:port", as other systems write them.
 #pragma once
 
 #include <charconv>
@@ -10,16 +10,16 @@
 
 namespace heronwell {
 
-// The host is what stands before the last colon, the port 1 to 65535 after it. Empty: not of that form. The
-// host itself is not checked.
-inline std::optional<std::pair<std::string, std::uint16_t>> read_address(std::string_view at) {
-  const auto colon = at.rfind(':');
+// Splits `address` at its last colon into the host and the port, which must be from 1 to 65535. Returns
+// nullopt if `address` does not have this form. The host must not be empty and is not checked otherwise.
+inline std::optional<std::pair<std::string, std::uint16_t>> read_address(std::string_view address) {
+  const auto colon = address.rfind(':');
   if (colon == std::string_view::npos || colon == 0) return std::nullopt;
   unsigned port = 0;
-  const auto* end = at.data() + at.size();
-  const auto read = std::from_chars(at.data() + colon + 1, end, port);
-  if (read.ec != std::errc() || read.ptr != end || port < 1 || port > 65535) return std::nullopt;
-  return std::pair(std::string(at.substr(0, colon)), static_cast<std::uint16_t>(port));
+  const auto* end = address.data() + address.size();
+  const auto parsed = std::from_chars(address.data() + colon + 1, end, port);
+  if (parsed.ec != std::errc() || parsed.ptr != end || port < 1 || port > 65535) return std::nullopt;
+  return std::pair(std::string(address.substr(0, colon)), static_cast<std::uint16_t>(port));
 }
 
 }  // namespace heronwell
--- a/src/base/bytes.hpp
+++ b/src/base/bytes.hpp
@@ -1,4 +1,4 @@
-// Big-endian integers in byte strings, as network protocols have them.
+// Writes and reads big-endian integers and NUL-terminated strings, as binary network protocols encode them.
 #pragma once
 
 #include <cstdint>
@@ -20,20 +20,20 @@
   put_u32(out, static_cast<std::uint32_t>(value >> 32));
   put_u32(out, static_cast<std::uint32_t>(value));
 }
-// `text`, which contains no NUL byte, and a NUL byte after it.
+// Appends `text` and a terminating NUL byte. `text` must not contain a NUL byte.
 inline void put_nul_terminated(std::string& out, std::string_view text) {
   out.append(text);
   out.push_back('\0');
 }
 
-// Reads from the front of a byte string. Never past the end: an input that is too short makes the reader fail
-// and stay failed, with zeros and empty texts from there on, so that its user checks ok() or done() once, at
-// the end.
+// Reads values from the front of a byte string and never past its end. After a read that needs more bytes
+// than are left, the reader stays failed and each further read returns zero or an empty string, so that the
+// caller needs to check ok() or done() only once, after the last read. Returned views refer to the input.
 class ByteReader {
  public:
   explicit ByteReader(std::string_view bytes) : rest_(bytes) {}
 
-  // An unsigned integer of 1 to 8 bytes.
+  // Reads an unsigned integer that is `bytes` long, 1 to 8.
   std::uint64_t number(std::size_t bytes) {
     if (rest_.size() < bytes) return fail();
     std::uint64_t value = 0;
@@ -51,7 +51,7 @@
     rest_.remove_prefix(bytes);
     return front;
   }
-  // Up to a NUL byte, which is consumed and not returned.
+  // Reads up to the next NUL byte, which is consumed but not returned.
   std::string_view nul_terminated() {
     const auto end = rest_.find('\0');
     if (end == std::string_view::npos) return fail(), std::string_view{};
@@ -60,7 +60,7 @@
     return front;
   }
   [[nodiscard]] bool ok() const { return ok_; }
-  // All was read, and nothing failed.
+  // Whether the whole input was read and no read failed.
   [[nodiscard]] bool done() const { return ok_ && rest_.empty(); }
   [[nodiscard]] std::string_view rest() const { return rest_; }
 
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -1,4 +1,4 @@
-// JSON's texts and numbers (RFC 8259), for output that is composed by hand on busy paths.
+// Writes JSON strings and checks JSON numbers (RFC 8259), for hot paths that compose JSON without a library.
 #pragma once
 
 #include <string>
@@ -6,9 +6,9 @@
 
 namespace heronwell {
 
-// Appends `text` quoted and escaped. Bytes that are not UTF-8 become U+FFFD.
+// Appends `text` as a JSON string, quoted and escaped. Each byte that is not valid UTF-8 becomes U+FFFD.
 void put_json_text(std::string& out, std::string_view text);
-// Whether `text` is a JSON number (section 6) and nothing else.
+// Whether the whole of `text` is one JSON number (RFC 8259, section 6).
 bool is_json_number(std::string_view text);
 
 }  // namespace heronwell
--- a/src/base/time.hpp
+++ b/src/base/time.hpp
@@ -1,5 +1,5 @@
-// Clock types that all packages share. No clock is read here: code below the daemon is handed the time, so
-// that it runs on virtual time as well.
+// Defines the time type that all packages share. It reads no clock: code below the daemon gets the time as an
+// argument, so that it also runs on virtual time.
 #pragma once
 
 #include <chrono>
@@ -7,9 +7,9 @@
 
 namespace heronwell {
 
-using Time = std::chrono::nanoseconds;  // a moment on the monotonic clock, or a duration
+using Time = std::chrono::nanoseconds;  // a point in time on the monotonic clock, or a duration
 
-// For output; fractions are kept.
+// Converts to milliseconds for output, with fractions.
 inline double milliseconds(Time t) { return std::chrono::duration<double, std::milli>(t).count(); }
 
 }  // namespace heronwell
--- a/src/base/yaml.cpp
+++ b/src/base/yaml.cpp
@@ -13,15 +13,15 @@
 
 struct Unit {
   std::string_view name;
-  std::uint64_t size;  // in the smallest unit
+  std::uint64_t size;  // as a multiple of the smallest unit (1 ns, 1 byte)
 };
-constexpr std::array<Unit, 6> kTimes{{{"h", 3'600'000'000'000},
-                                      {"min", 60'000'000'000},
-                                      {"s", 1'000'000'000},
-                                      {"ms", 1'000'000},
-                                      {"us", 1'000},
-                                      {"ns", 1}}};
-constexpr std::array<Unit, 4> kSizes{
+constexpr std::array<Unit, 6> kTimeUnits{{{"h", 3'600'000'000'000},
+                                          {"min", 60'000'000'000},
+                                          {"s", 1'000'000'000},
+                                          {"ms", 1'000'000},
+                                          {"us", 1'000},
+                                          {"ns", 1}}};
+constexpr std::array<Unit, 4> kSizeUnits{
     {{"GiB", 1ULL << 30}, {"MiB", 1ULL << 20}, {"KiB", 1ULL << 10}, {"B", 1}}};
 
 std::optional<std::uint64_t> parse_with_unit(std::string_view text, auto& units) {
@@ -30,13 +30,13 @@
   if (error != std::errc{} || !std::isfinite(value) || value < 0) return std::nullopt;
   const std::string_view unit(end, static_cast<std::size_t>(text.data() + text.size() - end));
   for (const auto& known : units) {
-    const double whole = value * static_cast<double>(known.size);
-    if (known.name == unit && whole < 9e18) return static_cast<std::uint64_t>(std::llround(whole));
+    const double scaled = value * static_cast<double>(known.size);
+    if (known.name == unit && scaled < 9e18) return static_cast<std::uint64_t>(std::llround(scaled));
   }
   return std::nullopt;
 }
 
-std::string in_units(std::uint64_t value, auto& units) {
+std::string format_with_unit(std::uint64_t value, auto& units) {
   for (const auto& unit : units)
     if (value >= unit.size && value % unit.size == 0)
       return fmt::format("{}{}", value / unit.size, unit.name);
@@ -62,15 +62,16 @@
   return std::nullopt;
 }
 
-std::size_t distance(std::string_view a, std::string_view b) {  // Levenshtein's
+// The Levenshtein distance.
+std::size_t edit_distance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   std::iota(row.begin(), row.end(), std::size_t{0});
   for (std::size_t i = 1; i <= a.size(); ++i) {
-    std::size_t corner = row[0];
+    std::size_t diagonal = row[0];
     row[0] = i;
     for (std::size_t j = 1; j <= b.size(); ++j) {
-      const auto cost = corner + (a[i - 1] == b[j - 1] ? 0 : 1);
-      corner = row[j];
+      const auto cost = diagonal + (a[i - 1] == b[j - 1] ? 0 : 1);
+      diagonal = row[j];
       row[j] = std::min({row[j] + 1, row[j - 1] + 1, cost});
     }
   }
@@ -80,31 +81,33 @@
 }  // namespace
 
 std::optional<Time> parse_duration(std::string_view text) {
-  const auto value = parse_with_unit(text, kTimes);
+  const auto value = parse_with_unit(text, kTimeUnits);
   return value ? std::optional(Time(static_cast<std::int64_t>(*value))) : std::nullopt;
 }
-std::optional<std::uint64_t> parse_size(std::string_view text) { return parse_with_unit(text, kSizes); }
-std::string duration_text(Time time) { return in_units(static_cast<std::uint64_t>(time.count()), kTimes); }
-std::string size_text(std::uint64_t bytes) { return in_units(bytes, kSizes); }
+std::optional<std::uint64_t> parse_size(std::string_view text) { return parse_with_unit(text, kSizeUnits); }
+std::string duration_text(Time time) {
+  return format_with_unit(static_cast<std::uint64_t>(time.count()), kTimeUnits);
+}
+std::string size_text(std::uint64_t bytes) { return format_with_unit(bytes, kSizeUnits); }
 
 std::string nearest(std::string_view word, const std::vector<std::string>& known) {
-  const auto far = [&](const std::string& other) { return distance(word, other); };
-  const auto best = std::ranges::min_element(known, {}, far);
-  return best != known.end() && far(*best) <= std::max<std::size_t>(2, word.size() / 3) ? *best : "";
+  const auto distance_to = [&](const std::string& other) { return edit_distance(word, other); };
+  const auto best = std::ranges::min_element(known, {}, distance_to);
+  return best != known.end() && distance_to(*best) <= std::max<std::size_t>(2, word.size() / 3) ? *best : "";
 }
 
 Section::Section(YAML::Node node, std::string file, std::string path)
     : node_(std::move(node)), file_(std::move(file)), path_(std::move(path)) {
-  if (node_.IsDefined() && !node_.IsNull() && !node_.IsMap()) fail("", "a mapping");
+  if (node_.IsDefined() && !node_.IsNull() && !node_.IsMap()) fail("", "expected a mapping");
 }
 
 Section Section::file(const std::string& path) {
   try {
     return {YAML::LoadFile(path), path, ""};
   } catch (const YAML::BadFile&) {
-    throw Error(path + ":1:1: file: a readable file");
+    throw Error(path + ":1:1: file: expected a readable file");
   } catch (const YAML::ParserException& error) {
-    throw Error(fmt::format("{}:{}:{}: file: valid YAML ({})", path, error.mark.line + 1,
+    throw Error(fmt::format("{}:{}:{}: file: expected valid YAML ({})", path, error.mark.line + 1,
                             error.mark.column + 1, error.msg));
   }
 }
@@ -113,7 +116,7 @@
   try {
     return {YAML::Load(yaml), name, ""};
   } catch (const YAML::ParserException& error) {
-    throw Error(fmt::format("{}:{}:{}: file: valid YAML ({})", name, error.mark.line + 1,
+    throw Error(fmt::format("{}:{}:{}: file: expected valid YAML ({})", name, error.mark.line + 1,
                             error.mark.column + 1, error.msg));
   }
 }
@@ -130,7 +133,7 @@
 }
 
 YAML::Node Section::get(const std::string& key) {
-  read_.push_back(key);
+  read_keys_.push_back(key);
   if (!node_.IsDefined() || !node_.IsMap()) return YAML::Node(YAML::NodeType::Undefined);
   const YAML::Node at = node_;
   return at[key];
@@ -253,8 +256,8 @@
   if (!node_.IsDefined() || !node_.IsMap()) return;
   for (const auto& entry : node_) {
     const auto key = entry.first.Scalar();
-    if (std::ranges::count(read_, key) > 0) continue;
-    const auto near = nearest(key, read_);
+    if (std::ranges::count(read_keys_, key) > 0) continue;
+    const auto near = nearest(key, read_keys_);
     fail(key,
          near.empty() ? "unknown key" : fmt::format("unknown key; the nearest known one is \"{}\"", near));
   }
--- a/src/base/yaml.hpp
+++ b/src/base/yaml.hpp
@@ -1,6 +1,6 @@
-// Typed reading of YAML settings. Each error names file, line, column, field and what was expected; units are
-// part of the value ("800ms", "64MiB"); keys that no reader asked for are errors that name the nearest known
-// one, so that a misspelt setting never goes unnoticed.
+// Reads typed settings from YAML. Each error names the file, line, column, field and what was expected. Units
+// are part of a value ("800ms", "64MiB"). A key that was not read is an error that names the most similar
+// known key, so that a misspelt setting is never silently ignored.
 #pragma once
 
 #include <yaml-cpp/yaml.h>
@@ -17,36 +17,43 @@
 
 namespace heronwell::yaml {
 
-// One line: "FILE:LINE:COLUMN: FIELD: what was expected".
+// An error in a setting. Its message is one line, "FILE:LINE:COLUMN: FIELD: what was expected".
 struct Error : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// "250us", "800ms", "2s", "5min", "1h"; nothing else, no sign, no bare number. Empty: not a duration.
+// Parses a duration with its unit, such as "250us", "800ms", "2s", "5min" or "1h". Returns nullopt if `text`
+// is not a duration. A sign or a missing unit is not accepted.
 std::optional<Time> parse_duration(std::string_view text);
-// "512B", "64KiB", "16MiB", "2GiB". Empty: not a size.
+// Parses a size in bytes with its unit, such as "512B", "64KiB", "16MiB" or "2GiB". Returns nullopt if `text`
+// is not a size.
 std::optional<std::uint64_t> parse_size(std::string_view text);
-// In the largest unit that divides it; what parse_duration() and parse_size() read to the same.
+// Write the value in the largest unit that divides it, so that parse_duration() and parse_size() return the
+// same value again.
 std::string duration_text(Time time);
 std::string size_text(std::uint64_t bytes);
-// The known word that `word` is most likely a misspelling of; empty: none is near.
+// Returns the known word that `word` is most likely a misspelling of, by edit distance; an empty string if no
+// known word is similar enough.
 std::string nearest(std::string_view word, const std::vector<std::string>& known);
 
-// A mapping whose keys are read one by one; close() rejects the rest. A getter without a `fallback` throws
-// Error where the key is missing; all throw Error where the value is of another kind or outside its limits.
+// A YAML mapping whose keys are read one by one; close() rejects keys that were not read. A getter of a
+// single value without a `fallback` throws Error if the key is missing. Each getter throws Error if the value
+// has another type or is out of range.
 class Section {
  public:
-  // The document in a file. Throws Error where it cannot be read, is no YAML or no mapping.
+  // Reads the document in a file. Throws Error if the file cannot be read or is not a YAML mapping.
+  // An empty document is an empty mapping.
   static Section file(const std::string& path);
-  // The document in a text; `name` stands for the file in errors.
+  // Reads the document in the string `yaml`; error messages give `name` as the name of the file.
   static Section text(const std::string& yaml, const std::string& name);
 
-  // Whether the key is there. It counts as read.
+  // Whether the key is present. Also marks it as read.
   [[nodiscard]] bool has(const std::string& key);
+  // The kind of value that the key has; `none` if the key is missing or its value is null. Marks it as read.
   enum class Shape { none, text, list, mapping };
   [[nodiscard]] Shape shape(const std::string& key);
-  [[nodiscard]] std::vector<std::string> keys() const;  // in the order of the file
-  // Numbers and counts from `least` to `most`, both included.
+  [[nodiscard]] std::vector<std::string> keys() const;  // in the order in which the file has them
+  // `number` and `count` accept values from `least` to `most`, both included.
   std::string string(const std::string& key);
   std::string string(const std::string& key, const std::string& fallback);
   bool boolean(const std::string& key, bool fallback);
@@ -58,17 +65,18 @@
   Time duration(const std::string& key);
   Time duration(const std::string& key, Time fallback);
   std::uint64_t size(const std::string& key, std::uint64_t fallback);
-  // The index in `among` of the word that is the value.
+  // Returns the index of the value in `among`; throws Error if the value is not one of them.
   std::size_t choice(const std::string& key, const std::vector<std::string>& among, std::size_t fallback);
   std::vector<std::string> strings(const std::string& key);
-  Section section(const std::string& key);                // missing: an empty one
-  std::vector<Section> sections(const std::string& key);  // a list of mappings; missing: none
-  std::vector<std::pair<std::string, Section>> named(const std::string& key);  // a mapping of mappings
+  Section section(const std::string& key);                // empty if the key is missing
+  std::vector<Section> sections(const std::string& key);  // a list of mappings; empty if missing
+  // A mapping of names to mappings; empty if the key is missing.
+  std::vector<std::pair<std::string, Section>> named(const std::string& key);
 
-  [[nodiscard]] std::string text() const;  // as YAML, in one line
-  // Throws Error at the first key that was not read.
+  [[nodiscard]] std::string text() const;  // the section as YAML in flow style, on one line
+  // Throws Error for the first key that was not read.
   void close();
-  // Throws Error at the place of `key`; empty: of the section.
+  // Throws Error with the line and column of `key`, or of the section itself if `key` is empty.
   [[noreturn]] void fail(const std::string& key, const std::string& expected) const;
   [[nodiscard]] const std::string& path() const { return path_; }
 
@@ -81,7 +89,7 @@
 
   YAML::Node node_;
   std::string file_, path_;
-  std::vector<std::string> read_;
+  std::vector<std::string> read_keys_;
 };
 
 }  // namespace heronwell::yaml
