--- a/src/calls/calls.cpp
+++ b/src/calls/calls.cpp
@@ -11,24 +11,25 @@
 namespace heronwell::calls {
 namespace {
 
-// Fields of an engine's answers, as the platform names them; what they mean stands in the header.
-constexpr std::string_view kPageCount = "x-parts", kPageNumber = "x-part-no", kProgressKind = "x-tell",
-                           kProgressAmount = "x-amount", kNeverRan = "x-no-effect", kLoadReport = "x-report";
+// The header fields of an engine's responses; calls.hpp describes them.
+constexpr std::string_view kPageCountField = "x-parts", kPageNumberField = "x-part-no",
+                           kProgressKindField = "x-tell", kProgressAmountField = "x-amount",
+                           kNeverRanField = "x-no-effect", kLoadReportField = "x-report";
 
-// No figure of a load report or of progress is larger; larger ones are taken for damage on the way.
-constexpr double kMaxNumber = 1e12;
+// The largest plausible value in a load report or progress report. Larger values are ignored as corrupted.
+constexpr double kMaxReportedValue = 1e12;
 
 std::optional<double> read_number(std::string_view text) {
   double value = 0;
   const auto* end = text.data() + text.size();
   const auto read = std::from_chars(text.data(), end, value);
-  if (text.empty() || read.ec != std::errc() || read.ptr != end || !(value >= 0) || value > kMaxNumber)
+  if (text.empty() || read.ec != std::errc() || read.ptr != end || !(value >= 0) || value > kMaxReportedValue)
     return std::nullopt;
   return value;
 }
 
-std::optional<unsigned> read_count(const http::Parser& answer, std::string_view name) {
-  const auto field = answer.find(name);
+std::optional<unsigned> read_count(const http::Parser& response, std::string_view name) {
+  const auto field = response.find(name);
   if (!field) return std::nullopt;
   unsigned value = 0;
   const auto* end = field->data() + field->size();
@@ -37,31 +38,34 @@
   return value;
 }
 
-bool proves_never_ran(const http::Parser& answer) { return answer.find(kNeverRan).value_or("") == "1"; }
+bool proves_never_ran(const http::Parser& response) {
+  return response.find(kNeverRanField).value_or("") == "1";
+}
 
-// Load fields, as settings and load reports name them; the settings may have words of their own.
-std::optional<LoadField> field_named(std::string_view name) {
+// Maps the names of load fields to LoadField. Most fields have two names, as load reports may use other names
+// than the settings.
+std::optional<LoadField> find_load_field(std::string_view name) {
   struct FieldName {
     std::string_view text;
     LoadField field;
   };
   using enum LoadField;
-  constexpr std::array names{FieldName{"inflight", in_flight},
-                             FieldName{"busy_reqs", in_flight},
-                             FieldName{"queue", queue},
-                             FieldName{"pending", queue},
-                             FieldName{"util", utilization},
-                             FieldName{"cpu_share", utilization},
-                             FieldName{"latency_ms", latency_ms},
-                             FieldName{"svc_ms", latency_ms},
-                             FieldName{"qps", served},
-                             FieldName{"served_ps", served},
-                             FieldName{"eps", failed},
-                             FieldName{"failed_ps", failed},
-                             FieldName{"x0", memory_share},
-                             FieldName{"x1", disk_share}};
-  const auto* const found = std::ranges::find(names, name, &FieldName::text);
-  if (found == names.end()) return std::nullopt;
+  constexpr std::array field_names{FieldName{"inflight", in_flight},
+                                   FieldName{"busy_reqs", in_flight},
+                                   FieldName{"queue", queue},
+                                   FieldName{"pending", queue},
+                                   FieldName{"util", utilization},
+                                   FieldName{"cpu_share", utilization},
+                                   FieldName{"latency_ms", latency_ms},
+                                   FieldName{"svc_ms", latency_ms},
+                                   FieldName{"qps", served},
+                                   FieldName{"served_ps", served},
+                                   FieldName{"eps", failed},
+                                   FieldName{"failed_ps", failed},
+                                   FieldName{"x0", memory_share},
+                                   FieldName{"x1", disk_share}};
+  const auto* const found = std::ranges::find(field_names, name, &FieldName::text);
+  if (found == field_names.end()) return std::nullopt;
   return found->field;
 }
 
@@ -80,7 +84,7 @@
   if (!query.idempotency_key.empty()) fmt::format_to(to, "X-Replay-Key: {}\r\n", query.idempotency_key);
   if (memory_mb > 0)
     fmt::format_to(to, "X-Mem-Limit: {}\r\n",
-                   // NOLINTNEXTLINE(bugprone-incorrect-roundings): above 0, to the nearest whole MB
+                   // NOLINTNEXTLINE(bugprone-incorrect-roundings): positive, rounded to the nearest MB
                    std::max<std::int64_t>(1, static_cast<std::int64_t>(memory_mb + 0.5)));
   fmt::format_to(to, "Content-Length: {}\r\n\r\n", statement.size());
   out.append(statement);
@@ -127,65 +131,65 @@
 
 namespace {
 
-std::optional<ProgressKind> progress_kind_named(std::string_view name) {
+std::optional<ProgressKind> find_progress_kind(std::string_view name) {
   if (name == "progress") return ProgressKind::progress;
   if (name == "spill_mb") return ProgressKind::spill;
   if (name == "blocked") return ProgressKind::waiting;
   return std::nullopt;
 }
 
-// 200: the first page of a result.
-QueryStatus read_first_page(const http::Parser& answer, std::string_view body) {
+// Reads the first page of a result (status 200).
+QueryStatus read_first_page(const http::Parser& response, std::string_view body) {
   QueryStatus status;
-  const auto pages = read_count(answer, kPageCount);
-  if (!pages || *pages < 1 || *pages > kMaxPages || answer.find(kPageNumber) || !answer.content_length() ||
-      !rows_well_formed(body))
+  const auto pages = read_count(response, kPageCountField);
+  if (!pages || *pages < 1 || *pages > kMaxPages || response.find(kPageNumberField) ||
+      !response.content_length() || !rows_well_formed(body))
     return status;
   status.state = QueryStatus::State::complete;
   status.page_count = *pages;
   return status;
 }
 
-// 202: it runs, and may report its progress.
-QueryStatus read_progress(const http::Parser& answer) {
+// Reads the status of a running query (status 202), which may report its progress.
+QueryStatus read_progress(const http::Parser& response) {
   QueryStatus status;
   status.state = QueryStatus::State::pending;
-  const auto kind = answer.find(kProgressKind);
-  const auto amount = read_number(answer.find(kProgressAmount).value_or(""));
+  const auto kind = response.find(kProgressKindField);
+  const auto amount = read_number(response.find(kProgressAmountField).value_or(""));
   if (!kind || !amount) return status;
-  status.progress = progress_kind_named(*kind);
+  status.progress = find_progress_kind(*kind);
   status.amount = *amount;
   return status;
 }
 
 }  // namespace
 
-QueryStatus read_status(const http::Parser& answer, std::string_view body) {
+QueryStatus read_status(const http::Parser& response, std::string_view body) {
   QueryStatus status;
-  switch (answer.status()) {
+  switch (response.status()) {
     case 200:
-      return read_first_page(answer, body);
+      return read_first_page(response, body);
     case 202:
-      return read_progress(answer);
+      return read_progress(response);
     case 500:
       status.state = QueryStatus::State::finished;
       return status;
     case 503:
       status.state = QueryStatus::State::finished;
-      if (proves_never_ran(answer)) status.result = CallResult::rejected_full;
+      if (proves_never_ran(response)) status.result = CallResult::rejected_full;
       return status;
     case 504:
       status.state = QueryStatus::State::finished;
-      if (proves_never_ran(answer)) status.result = CallResult::rejected_too_late;
+      if (proves_never_ran(response)) status.result = CallResult::rejected_too_late;
       return status;
     default:
       return status;
   }
 }
 
-bool is_complete_page(const http::Parser& answer, std::string_view body, unsigned page) {
-  return answer.status() == 200 && read_count(answer, kPageNumber) == page && answer.content_length() &&
-         rows_well_formed(body);
+bool is_complete_page(const http::Parser& response, std::string_view body, unsigned page) {
+  return response.status() == 200 && read_count(response, kPageNumberField) == page &&
+         response.content_length() && rows_well_formed(body);
 }
 
 bool rows_well_formed(std::string_view body) {
@@ -198,27 +202,27 @@
   return true;
 }
 
-std::vector<double> read_load_report(const http::Parser& answer, const std::vector<LoadField>& fields) {
-  const auto report = answer.find(kLoadReport);
+std::vector<double> read_load_report(const http::Parser& response, const std::vector<LoadField>& fields) {
+  const auto report = response.find(kLoadReportField);
   if (!report || fields.empty()) return {};
   std::vector<double> values(fields.size(), 0);
-  bool any = false;
+  bool has_requested_field = false;
   for (auto rest = *report; !rest.empty();) {
     const auto end = rest.find(';');
     const auto pair = rest.substr(0, end);
     rest.remove_prefix(end == std::string_view::npos ? rest.size() : end + 1);
     const auto colon = pair.find(':');
     if (colon == std::string_view::npos) continue;
-    const auto field = field_named(pair.substr(0, colon));
+    const auto field = find_load_field(pair.substr(0, colon));
     const auto value = read_number(pair.substr(colon + 1));
     if (!field || !value) continue;
     for (std::size_t i = 0; i < fields.size(); ++i) {
       if (fields[i] != *field) continue;
       values[i] = *value;
-      any = true;
+      has_requested_field = true;
     }
   }
-  if (!any) values.clear();
+  if (!has_requested_field) values.clear();
   return values;
 }
 
--- a/src/frames/frames.cpp
+++ b/src/frames/frames.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr std::size_t kRequestIdDigits = 16;
-constexpr std::uint64_t kMaxTimeoutMs = 3'600'000;  // an hour, as the protocol has it
+constexpr std::uint64_t kMaxTimeoutMs = 3'600'000;  // an hour, the maximum of the protocol
 
-void put_head(std::string& out, FrameType type, std::uint32_t stream, std::size_t payload) {
+void put_frame_header(std::string& out, FrameType type, std::uint32_t stream, std::size_t payload) {
   put_u32(out, static_cast<std::uint32_t>(kMinFrameBytes + payload));
   put_u8(out, static_cast<unsigned>(type));
   put_u32(out, stream);
@@ -28,11 +28,11 @@
 }
 
 bool is_client_type(unsigned type) {
-  const auto is = [type](FrameType one) { return type == static_cast<unsigned>(one); };
+  const auto is = [type](FrameType expected) { return type == static_cast<unsigned>(expected); };
   return is(FrameType::request) || is(FrameType::cancel) || is(FrameType::readiness_query);
 }
 
-DecodeResult failed(FrameError error) {
+DecodeResult decode_error(FrameError error) {
   DecodeResult result;
   result.status = DecodeResult::Status::error;
   result.error = error;
@@ -96,20 +96,20 @@
   DecodeResult result;
   if (bytes.size() < kLengthBytes) return result;
   const auto length = ByteReader(bytes).u32();
-  if (length < kMinFrameBytes || length > kMaxFrameBytes) return failed(FrameError::length);
-  // The type is checked before the frame is complete: a client must not be waited for when what it sends is
-  // an error already.
+  if (length < kMinFrameBytes || length > kMaxFrameBytes) return decode_error(FrameError::length);
+  // The type is checked before the frame is complete, so that an invalid frame is rejected at once and the
+  // connection does not wait for the rest of it.
   if (bytes.size() > kLengthBytes && !is_client_type(static_cast<unsigned char>(bytes[kLengthBytes])))
-    return failed(FrameError::type);
+    return decode_error(FrameError::type);
   const std::size_t frame_bytes = kLengthBytes + length;
   if (bytes.size() < frame_bytes) return result;
   ByteReader reader(bytes.substr(kLengthBytes, length));
   auto& frame = result.frame;
   frame.type = static_cast<FrameType>(reader.u8());
   frame.stream = reader.u32();
-  if (frame.type == FrameType::request && frame.stream == 0) return failed(FrameError::stream);
+  if (frame.type == FrameType::request && frame.stream == 0) return decode_error(FrameError::stream);
   if (frame.type != FrameType::cancel && !read_fields(reader, frame.fields))
-    return failed(FrameError::fields);
+    return decode_error(FrameError::fields);
   frame.body = reader.rest();
   result.consumed_bytes = frame_bytes;
   result.status = DecodeResult::Status::frame;
@@ -127,7 +127,7 @@
   std::size_t payload = 2 + body.size();
   for (const auto& field : fields) payload += 3 + field.name.size() + field.value.size();
   out.reserve(out.size() + kLengthBytes + kMinFrameBytes + payload);
-  put_head(out, FrameType::response, stream, payload);
+  put_frame_header(out, FrameType::response, stream, payload);
   put_u8(out, static_cast<unsigned>(code));
   put_u8(out, static_cast<unsigned>(fields.size()));
   for (const auto& field : fields) {
@@ -140,25 +140,25 @@
 }
 
 void put_readiness(std::string& out, std::uint32_t stream, bool ready) {
-  put_head(out, FrameType::readiness, stream, 2);
+  put_frame_header(out, FrameType::readiness, stream, 2);
   put_u8(out, ready ? 0 : 1);
   put_u8(out, 0);
 }
 
-void put_go_away(std::string& out) { put_head(out, FrameType::go_away, 0, 0); }
+void put_go_away(std::string& out) { put_frame_header(out, FrameType::go_away, 0, 0); }
 
 std::optional<RequestError> read_request(const Frame& frame, Request& out) {
-  const auto text = [&frame](std::string_view name) { return find(frame, name).value_or(""); };
+  const auto value_of = [&frame](std::string_view name) { return find(frame, name).value_or(""); };
   if (has_duplicate_names(frame.fields)) return RequestError::duplicate_field;
-  out.class_name = text("c");
-  out.tenant = text("t");
-  out.id = text("i");
+  out.class_name = value_of("c");
+  out.tenant = value_of("t");
+  out.id = value_of("i");
   if (!is_request_id(out.id)) return RequestError::id;
-  const auto timeout = read_timeout(text("d"));
+  const auto timeout = read_timeout(value_of("d"));
   if (!timeout) return RequestError::timeout;
   out.timeout_ms = *timeout;
-  out.idempotency_key = text("k");
-  // The key goes on to engines as the value of a header field, which a line feed or a space would break.
+  out.idempotency_key = value_of("k");
+  // The key is sent to engines as a header field value, which a line feed or a space would corrupt.
   if (!std::ranges::all_of(out.idempotency_key, [](char c) { return c > ' ' && c < '\x7f'; }))
     return RequestError::idempotency_key;
   if (frame.body.empty()) return RequestError::empty_statement;
