--- a/src/sql/group.hpp
+++ b/src/sql/group.hpp
@@ -1,6 +1,4 @@
-// The group of tables that a statement reads or writes: the number behind the last underscore in the name of
-// a schema (17 in sales_17.orders). A small lexer: strings, quoted names and comments are seen as such, the
-// schema `staging` does not count. Statements pass through untouched whatever is found.
+// Determines the data group of a SQL statement, which is the group of tables that it reads or writes.
 #pragma once
 
 #include <cstdint>
@@ -9,6 +7,10 @@
 
 namespace heronwell::sql {
 
+// Returns the number after the last underscore in the name of the first schema that ends in such a number (17
+// in sales_17.orders); nullopt if there is none. Schemas without a number, such as `staging`, are skipped. A
+// schema is a name followed by a dot. A small lexer recognises strings, quoted names and comments. Whatever
+// the result is, the statement is sent to the engine unchanged.
 [[nodiscard]] std::optional<std::int64_t> find_data_group(std::string_view statement);
 
 }  // namespace heronwell::sql
--- a/src/sql/protocol.cpp
+++ b/src/sql/protocol.cpp
@@ -7,18 +7,18 @@
 namespace heronwell::sql {
 namespace {
 
-// Writes type and length round what `body` appends.
-void message(std::string& out, char type, auto body) {
+// Appends a message: its type (0: none), its length and the payload, which `append_payload` appends.
+void put_message(std::string& out, char type, auto append_payload) {
   if (type != 0) out.push_back(type);
-  const auto at = out.size();
+  const auto length_position = out.size();
   put_u32(out, 0);
-  body();
-  const auto length = static_cast<std::uint32_t>(out.size() - at);
-  for (std::size_t i = 0; i < 4; ++i) out[at + i] = static_cast<char>(length >> (8 * (3 - i)));
+  append_payload();
+  const auto length = static_cast<std::uint32_t>(out.size() - length_position);
+  for (std::size_t i = 0; i < 4; ++i) out[length_position + i] = static_cast<char>(length >> (8 * (3 - i)));
 }
 
-void put_fields(std::string& out, char type, const ErrorText& text) {
-  message(out, type, [&] {
+void put_error_fields(std::string& out, char type, const ErrorText& text) {
+  put_message(out, type, [&] {
     for (const auto& [key, value] : {std::pair{'S', text.severity}, std::pair{'V', text.severity},
                                      std::pair{'C', text.code}, std::pair{'M', text.message}}) {
       out.push_back(key);
@@ -28,35 +28,35 @@
   });
 }
 
-Frame frame(std::string_view in, std::size_t header, char type, std::size_t most) {
+Frame read_frame(std::string_view in, std::size_t type_bytes, char type, std::size_t max_bytes) {
   Frame found;
-  if (in.size() < header + 4) return found;
-  const std::size_t length = ByteReader(in.substr(header)).u32();
-  if (length < 4 || header + length > most) {
+  if (in.size() < type_bytes + 4) return found;
+  const std::size_t length = ByteReader(in.substr(type_bytes)).u32();
+  if (length < 4 || type_bytes + length > max_bytes) {
     found.state = Frame::State::malformed;
     return found;
   }
-  found.size = header + length;
+  found.size = type_bytes + length;
   if (in.size() < found.size) return found;
   found.state = Frame::State::complete;
-  found.message = {type, in.substr(header + 4, length - 4)};
+  found.message = {type, in.substr(type_bytes + 4, length - 4)};
   return found;
 }
 
 }  // namespace
 
-Frame next_message(std::string_view in, std::size_t most) {
+Frame next_message(std::string_view in, std::size_t max_bytes) {
   if (in.empty()) return {};
   const char type = in.front();
   if ((type < 'A' || type > 'Z') && (type < 'a' || type > 'z') && (type < '0' || type > '9'))
     return {Frame::State::malformed, 0, {}};
-  return frame(in, 1, type, most);
+  return read_frame(in, 1, type, max_bytes);
 }
-Frame next_startup(std::string_view in) { return frame(in, 0, 0, kMostStartup); }
+Frame next_startup(std::string_view in) { return read_frame(in, 0, 0, kMaxStartupBytes); }
 
 void put_startup(std::string& out, const std::vector<std::pair<std::string, std::string>>& parameters) {
-  message(out, 0, [&] {
-    put_u32(out, kProtocol);
+  put_message(out, 0, [&] {
+    put_u32(out, kProtocolVersion);
     for (const auto& [name, value] : parameters) {
       put_nul_terminated(out, name);
       put_nul_terminated(out, value);
@@ -65,87 +65,87 @@
   });
 }
 void put_cancel(std::string& out, std::uint32_t process, std::uint32_t secret) {
-  message(out, 0, [&] {
+  put_message(out, 0, [&] {
     put_u32(out, kCancelCode);
     put_u32(out, process);
     put_u32(out, secret);
   });
 }
 void put_query(std::string& out, std::string_view statement) {
-  message(out, 'Q', [&] { put_nul_terminated(out, statement); });
+  put_message(out, 'Q', [&] { put_nul_terminated(out, statement); });
 }
 void put_parse(std::string& out, std::string_view statement) {
-  message(out, 'P', [&] {
+  put_message(out, 'P', [&] {
     put_nul_terminated(out, "");
     put_nul_terminated(out, statement);
-    put_u16(out, 0);  // the engine infers types
+    put_u16(out, 0);  // no parameter types: the engine infers them
   });
 }
 void put_bind(std::string& out, const std::vector<std::optional<std::string>>& parameters) {
-  message(out, 'B', [&] {
+  put_message(out, 'B', [&] {
     put_nul_terminated(out, "");
     put_nul_terminated(out, "");
-    put_u16(out, 0);  // all as text
+    put_u16(out, 0);  // parameter formats: all text
     put_u16(out, static_cast<unsigned>(parameters.size()));
-    for (const auto& one : parameters) {
-      put_u32(out, one ? static_cast<std::uint32_t>(one->size()) : 0xffffffff);
-      if (one) out.append(*one);
+    for (const auto& parameter : parameters) {
+      put_u32(out, parameter ? static_cast<std::uint32_t>(parameter->size()) : 0xffffffff);
+      if (parameter) out.append(*parameter);
     }
-    put_u16(out, 0);
+    put_u16(out, 0);  // result formats: all text
   });
 }
 void put_describe(std::string& out) {
-  message(out, 'D', [&] {
+  put_message(out, 'D', [&] {
     out.push_back('P');
     put_nul_terminated(out, "");
   });
 }
 void put_execute(std::string& out) {
-  message(out, 'E', [&] {
+  put_message(out, 'E', [&] {
     put_nul_terminated(out, "");
-    put_u32(out, 0);  // all rows
+    put_u32(out, 0);  // no row limit
   });
 }
 void put_sync(std::string& out) {
-  message(out, 'S', [] {});
+  put_message(out, 'S', [] {});
 }
 void put_terminate(std::string& out) {
-  message(out, 'X', [] {});
+  put_message(out, 'X', [] {});
 }
 void put_authentication_ok(std::string& out) {
-  message(out, 'R', [&] { put_u32(out, 0); });
+  put_message(out, 'R', [&] { put_u32(out, 0); });
 }
 void put_parameter(std::string& out, std::string_view name, std::string_view value) {
-  message(out, 'S', [&] {
+  put_message(out, 'S', [&] {
     put_nul_terminated(out, name);
     put_nul_terminated(out, value);
   });
 }
 void put_key(std::string& out, std::uint32_t process, std::uint32_t secret) {
-  message(out, 'K', [&] {
+  put_message(out, 'K', [&] {
     put_u32(out, process);
     put_u32(out, secret);
   });
 }
 void put_ready(std::string& out, char status) {
-  message(out, 'Z', [&] { out.push_back(status); });
+  put_message(out, 'Z', [&] { out.push_back(status); });
 }
 void put_columns(std::string& out, const std::vector<Column>& columns) {
-  message(out, 'T', [&] {
+  put_message(out, 'T', [&] {
     put_u16(out, static_cast<unsigned>(columns.size()));
     for (const auto& column : columns) {
       put_nul_terminated(out, column.name);
-      put_u32(out, 0);  // no table
+      put_u32(out, 0);  // not a column of a table
       put_u16(out, 0);
       put_u32(out, column.type);
-      put_u16(out, 0xffff);  // of any size
+      put_u16(out, 0xffff);  // variable size
       put_u32(out, 0xffffffff);
-      put_u16(out, 0);  // as text
+      put_u16(out, 0);  // text format
     }
   });
 }
 void put_row(std::string& out, const std::vector<Value>& values) {
-  message(out, 'D', [&] {
+  put_message(out, 'D', [&] {
     put_u16(out, static_cast<unsigned>(values.size()));
     for (const auto& value : values) {
       put_u32(out, value ? static_cast<std::uint32_t>(value->size()) : 0xffffffff);
@@ -154,22 +154,22 @@
   });
 }
 void put_complete(std::string& out, std::string_view tag) {
-  message(out, 'C', [&] { put_nul_terminated(out, tag); });
+  put_message(out, 'C', [&] { put_nul_terminated(out, tag); });
 }
 void put_parse_complete(std::string& out) {
-  message(out, '1', [] {});
+  put_message(out, '1', [] {});
 }
 void put_bind_complete(std::string& out) {
-  message(out, '2', [] {});
+  put_message(out, '2', [] {});
 }
 void put_no_data(std::string& out) {
-  message(out, 'n', [] {});
+  put_message(out, 'n', [] {});
 }
 void put_empty_query(std::string& out) {
-  message(out, 'I', [] {});
+  put_message(out, 'I', [] {});
 }
-void put_error(std::string& out, const ErrorText& error) { put_fields(out, 'E', error); }
-void put_notice(std::string& out, const ErrorText& notice) { put_fields(out, 'N', notice); }
+void put_error(std::string& out, const ErrorText& error) { put_error_fields(out, 'E', error); }
+void put_notice(std::string& out, const ErrorText& notice) { put_error_fields(out, 'N', notice); }
 
 std::optional<ErrorText> read_error(std::string_view payload) {
   ByteReader in(payload);
@@ -245,18 +245,18 @@
 
 RowReader::RowReader(std::string_view payload) {
   ByteReader in(payload);
-  left_ = in.u16();
+  remaining_columns_ = in.u16();
   ok_ = in.ok();
   rest_ = in.rest();
 }
 bool RowReader::next(Value& value) {
-  if (!ok_ || left_ == 0) return false;
+  if (!ok_ || remaining_columns_ == 0) return false;
   ByteReader in(rest_);
   const auto size = in.u32();
   value = size == 0xffffffff ? Value{} : Value{in.take(size)};
   ok_ = in.ok();
   rest_ = in.rest();
-  --left_;
+  --remaining_columns_;
   return ok_;
 }
 
--- a/src/sql/session.cpp
+++ b/src/sql/session.cpp
@@ -14,13 +14,13 @@
                     const Statement& statement) {
   assert(reusable());
   state_ = SessionState::busy;
-  settings_out_ = 0;
+  settings_pending_ = 0;
   for (const auto& [name, value] : settings) {
     put_query(out, "set " + name + " = '" + value + "'");
-    ++settings_out_;
+    ++settings_pending_;
   }
-  bound_ = statement.bound;
-  if (!bound_) return put_query(out, statement.text);
+  uses_extended_protocol_ = statement.bound;
+  if (!uses_extended_protocol_) return put_query(out, statement.text);
   put_parse(out, statement.text);
   put_bind(out, statement.parameters);
   put_describe(out);
@@ -30,14 +30,14 @@
 
 std::size_t Session::feed(std::string_view in, SessionEvents& events, const bool& pause) {
   std::size_t used = 0;
-  wants_ = 0;
+  next_message_bytes_ = 0;
   while (state_ != SessionState::over && !pause) {
-    const auto frame = next_message(in.substr(used), most_message_);
+    const auto frame = next_message(in.substr(used), max_message_bytes_);
     if (frame.state == Frame::State::need_more) {
-      wants_ = frame.size;
+      next_message_bytes_ = frame.size;
       break;
     }
-    if (frame.state == Frame::State::malformed || !take(frame.message, events)) {
+    if (frame.state == Frame::State::malformed || !handle_message(frame.message, events)) {
       state_ = SessionState::over;
       break;
     }
@@ -46,8 +46,8 @@
   return used;
 }
 
-bool Session::startup_reply(const Message& message) {
-  if (message.type == 'R')  // only "trust": whoever needs more is not served by the router yet
+bool Session::handle_startup_response(const Message& message) {
+  if (message.type == 'R')  // only AuthenticationOk ("trust"); other methods are not supported
     return message.payload == std::string_view("\0\0\0\0", 4);
   if (message.type != 'K') return false;
   const auto key = read_key(message.payload);
@@ -56,8 +56,8 @@
   return true;
 }
 
-bool Session::take(const Message& message, SessionEvents& events) {
-  const bool statement = state_ == SessionState::busy && settings_out_ == 0;
+bool Session::handle_message(const Message& message, SessionEvents& events) {
+  const bool statement_running = state_ == SessionState::busy && settings_pending_ == 0;
   switch (message.type) {
     case 'S': {
       const auto parameter = read_parameter(message.payload);
@@ -73,7 +73,7 @@
       const auto error = read_error(message.payload);
       if (!error) return false;
       const bool fatal = error->severity == "FATAL" || error->severity == "PANIC";
-      if (settings_out_ > 0 && state_ == SessionState::busy && !fatal)
+      if (settings_pending_ > 0 && state_ == SessionState::busy && !fatal)
         ++settings_refused_;
       else
         events.on_error(*error);
@@ -82,41 +82,41 @@
     }
     case 'Z':
       if (message.payload.size() != 1 || state_ == SessionState::idle) return false;
-      if (state_ == SessionState::busy && settings_out_ > 0) {
-        --settings_out_;
+      if (state_ == SessionState::busy && settings_pending_ > 0) {
+        --settings_pending_;
         return true;
       }
-      if (message.payload != "I") tainted_ = true;  // a transaction left open
+      if (message.payload != "I") tainted_ = true;  // the statement left a transaction open
       if (std::exchange(state_, SessionState::idle) == SessionState::busy) events.on_statement_end();
       return true;
     case 'T': {
       const auto columns = read_columns(message.payload);
-      if (!columns || !statement) return false;
+      if (!columns || !statement_running) return false;
       events.on_columns(*columns);
       return true;
     }
     case 'D':
-      if (!statement) return false;
+      if (!statement_running) return false;
       events.on_row(RowReader(message.payload));
       return true;
     case 'C': {
       const auto tag = read_text(message.payload);
       if (!tag || state_ != SessionState::busy) return false;
-      if (statement) events.on_complete(*tag);
+      if (statement_running) events.on_complete(*tag);
       return true;
     }
-    case '1':  // parsed
-    case '2':  // bound
-    case 'n':  // no rows will come
-      return statement && bound_;
+    case '1':  // ParseComplete
+    case '2':  // BindComplete
+    case 'n':  // NoData
+      return statement_running && uses_extended_protocol_;
     case 'I':
-      if (statement) events.on_complete("");
-      return statement;
+      if (statement_running) events.on_complete("");
+      return statement_running;
     case 'R':
     case 'K':
-      return state_ == SessionState::starting && startup_reply(message);
+      return state_ == SessionState::starting && handle_startup_response(message);
     default:
-      return false;  // COPY and function calls are not spoken
+      return false;  // COPY and function calls are not supported
   }
 }
 
--- a/src/sql/table.hpp
+++ b/src/sql/table.hpp
@@ -1,4 +1,5 @@
-// The rows of one statement, kept as the engine wrote them: one text, and for each cell where in it.
+// Stores the rows of one statement's result as the engine sent them: one string with the text of all cells,
+// and the position of each cell in it.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +15,9 @@
 class Table {
  public:
   std::vector<Column> columns;
-  std::string command;  // the tag, such as "INSERT 0 1"
+  std::string command;  // the command tag, such as "INSERT 0 1"
 
-  // False: malformed.
+  // Appends a row. Returns false if the row is malformed or has another number of columns than `columns`.
   bool add(RowReader row) {
     if (row.columns() != columns.size()) return false;
     Value value;
@@ -33,7 +34,7 @@
   [[nodiscard]] Value at(std::size_t row, std::size_t column) const {
     const auto& cell = cells_[row * columns.size() + column];
     if (cell.size < 0) return std::nullopt;
-    return std::string_view(text_).substr(cell.from, static_cast<std::size_t>(cell.size));
+    return std::string_view(text_).substr(cell.offset, static_cast<std::size_t>(cell.size));
   }
   [[nodiscard]] std::optional<std::size_t> column(std::string_view name) const {
     for (std::size_t i = 0; i < columns.size(); ++i)
@@ -43,7 +44,7 @@
 
  private:
   struct Cell {
-    std::uint32_t from = 0;
+    std::uint32_t offset = 0;
     std::int32_t size = -1;  // -1: NULL
   };
   std::string text_;
--- a/tests/protocol/sql_test.cpp
+++ b/tests/protocol/sql_test.cpp
@@ -7,27 +7,29 @@
 namespace heronwell::sql {
 namespace {
 
-TEST(Frames, AreNeverBufferedBeyondTheirLimit) {
+TEST(Frames, IncompleteNeedMoreBytesAndTooLongAreMalformed) {
   std::string out;
   put_query(out, "select 1");
   for (std::size_t n = 0; n < out.size(); ++n)
-    EXPECT_EQ(next_message(std::string_view(out).substr(0, n), 100).state, Frame::State::need_more) << n;
+    EXPECT_EQ(next_message(std::string_view(out).substr(0, n), 100).state, Frame::State::need_more)
+        << "truncated after " << n << " bytes";
   EXPECT_EQ(next_message(out, 100).state, Frame::State::complete);
   EXPECT_EQ(next_message(out, out.size() - 1).state, Frame::State::malformed);
   EXPECT_EQ(next_message(std::string("D\xff\xff\xff\xff", 5), 1 << 20).state, Frame::State::malformed);
   EXPECT_EQ(next_message(std::string("D\0\0\0\3", 5), 100).state, Frame::State::malformed)
-      << "shorter than its own length";
-  EXPECT_EQ(next_message(std::string("\0\0\0\0\5", 5), 100).state, Frame::State::malformed) << "no type";
+      << "the length is smaller than the length field itself";
+  EXPECT_EQ(next_message(std::string("\0\0\0\0\5", 5), 100).state, Frame::State::malformed)
+      << "the type is missing";
   EXPECT_EQ(next_startup(std::string("\0\1\0\0", 4)).state, Frame::State::malformed)
-      << "a start-up of 64 KiB";
+      << "a start-up packet of 64 KiB";
 }
 
-TEST(Codec, ReadsWhatItWrites) {
+TEST(Codec, ReadsTheMessagesThatItWrites) {
   std::string out;
   put_startup(out, {{"user", "a"}, {"application_name", "gw"}});
   auto startup = read_startup(next_startup(out).message.payload);
   ASSERT_TRUE(startup);
-  EXPECT_EQ(startup->code, kProtocol);
+  EXPECT_EQ(startup->code, kProtocolVersion);
   EXPECT_EQ(startup->parameters[1].second, "gw");
   out.clear();
   put_cancel(out, 7, 9);
@@ -52,10 +54,10 @@
   const auto payload = std::string(next_message(out, 200).message.payload);
   EXPECT_EQ(read_error(payload)->code, "42P01");
   for (std::size_t n = 0; n < payload.size(); ++n)
-    EXPECT_FALSE(read_error(std::string_view(payload).substr(0, n))) << n;
+    EXPECT_FALSE(read_error(std::string_view(payload).substr(0, n))) << "truncated after " << n << " bytes";
 }
 
-TEST(Rows, ThatLieAboutTheirLengthAreMalformed) {
+TEST(Rows, WithAWrongLengthAreMalformed) {
   for (const auto& payload :
        {std::string("\0\1\0\0\0\5ab", 8), std::string("\0\2\0\0\0\1a", 7), std::string("\0", 1)}) {
     RowReader row(payload);
@@ -65,26 +67,27 @@
   }
 }
 
-// The result table, a row a test case.
+// One test case for each row of the table in result.hpp.
 struct Row {
   const char* name;
-  StatementResult seen;
+  StatementResult observed;
   const char* code;
-  bool cancel;
+  bool cancel_sent;
   AttemptResult result;
-  bool clients_error;
+  bool client_gets_error;
 };
 class ResultTable : public testing::TestWithParam<Row> {};
-TEST_P(ResultTable, Holds) {
+TEST_P(ResultTable, ClassifiesTheObservation) {
   const auto& row = GetParam();
-  const auto verdict = classify(row.seen, row.code, {"53301"}, row.cancel);
-  EXPECT_EQ(verdict.result, row.result);
-  EXPECT_EQ(verdict.client_gets_error, row.clients_error);
+  const auto classification = classify(row.observed, row.code, {"53301"}, row.cancel_sent);
+  EXPECT_EQ(classification.result, row.result);
+  EXPECT_EQ(classification.client_gets_error, row.client_gets_error);
 }
 INSTANTIATE_TEST_SUITE_P(
     , ResultTable,
     testing::Values(
-        Row{"dial_refused", StatementResult::not_connected, "", false, AttemptResult::not_connected, false},
+        Row{"connection_refused", StatementResult::not_connected, "", false, AttemptResult::not_connected,
+            false},
         Row{"startup_53300", StatementResult::startup_error, "53300", false, AttemptResult::rejected, false},
         Row{"startup_57P03", StatementResult::startup_error, "57P03", false, AttemptResult::rejected, false},
         Row{"startup_28P01", StatementResult::startup_error, "28P01", false, AttemptResult::not_connected,
@@ -113,16 +116,17 @@
         Row{"syntax_42601", StatementResult::statement_error, "42601", false, AttemptResult::served, true},
         Row{"check_option_44000", StatementResult::statement_error, "44000", false, AttemptResult::served,
             true},
-        Row{"cancelled_by_us", StatementResult::statement_error, "57014", true, AttemptResult::cancelled,
-            false},
+        Row{"cancelled_by_this_router", StatementResult::statement_error, "57014", true,
+            AttemptResult::cancelled, false},
         Row{"cancelled_by_others", StatementResult::statement_error, "57014", false, AttemptResult::error,
             false},
         Row{"closed_after_cancel", StatementResult::cancelled, "", true, AttemptResult::cancelled, false},
-        Row{"until_passed", StatementResult::deadline_passed, "", false, AttemptResult::timed_out, false},
+        Row{"deadline_passed", StatementResult::deadline_passed, "", false, AttemptResult::timed_out, false},
         Row{"complete", StatementResult::complete, "", false, AttemptResult::served, false}),
-    [](const auto& one) { return std::string(one.param.name); });
+    [](const auto& test) { return std::string(test.param.name); });
 
-struct Log : SessionEvents {
+// Records the events of a session as text.
+struct EventLog : SessionEvents {
   void on_columns(const std::vector<Column>& columns) override {
     text += "columns " + std::to_string(columns.size()) + ";";
   }
@@ -141,7 +145,7 @@
   bool pause = false, pause_at_row = false;
 };
 
-std::string greeting() {
+std::string startup_response() {
   std::string out;
   put_authentication_ok(out);
   put_parameter(out, "server_version", "15");
@@ -149,7 +153,7 @@
   put_ready(out);
   return out;
 }
-std::string answer() {
+std::string response() {
   std::string out;
   put_columns(out, {{"a", 23}});
   put_row(out, {"1"});
@@ -158,48 +162,48 @@
   put_ready(out);
   return out;
 }
-Session ready_session(Log& log) {
+Session ready_session(EventLog& log) {
   Session session(1 << 16);
   std::string sent;
   session.start(sent, {{"user", "a"}});
-  const auto bytes = greeting();
+  const auto bytes = startup_response();
   EXPECT_EQ(session.feed(bytes, log, log.pause), bytes.size());
   EXPECT_TRUE(session.reusable());
   log.text.clear();
   return session;
 }
 
-TEST(Session, RunsStatementsOneAfterAnother) {
-  Log log;
+TEST(Session, RunsStatementsInSequence) {
+  EventLog log;
   auto session = ready_session(log);
   std::string sent;
   for (int i = 0; i < 2; ++i) {
     session.query(sent, {}, {"select a"});
     EXPECT_FALSE(session.reusable());
-    session.feed(answer(), log, log.pause);
+    session.feed(response(), log, log.pause);
     EXPECT_TRUE(session.reusable());
   }
   EXPECT_EQ(log.text,
             "columns 1;row 1;row 1;complete SELECT 2;end;columns 1;row 1;row 1;complete SELECT 2;end;");
 }
 
-// A cancel request names the connection, not the statement, and may arrive at the engine after the statement
-// has ended. On a connection that is used again it would cancel the next client's statement.
-TEST(Session, IsNeverReusedOnceACancelWasSent) {
-  Log log;
+// A cancel request identifies the connection, not the statement, and may reach the engine after the statement
+// has ended. If the connection were reused, it would cancel the next client's statement.
+TEST(Session, IsNotReusableAfterACancelRequestWasSent) {
+  EventLog log;
   auto session = ready_session(log);
   std::string sent;
   session.query(sent, {}, {"select a"});
   session.cancel_sent();
-  session.feed(answer(), log, log.pause);  // the answer crossed the cancel
+  session.feed(response(), log, log.pause);  // the response arrives after the cancel request was sent
   EXPECT_EQ(session.state(), SessionState::idle);
   EXPECT_FALSE(session.reusable());
 }
 
-// A statement leaves a transaction open. The next client's statement on that connection would run within it,
-// and be rolled back with it.
-TEST(Session, WithATransactionLeftOpenIsNotReused) {
-  Log log;
+// A statement leaves a transaction open. The next client's statement on the same connection would run in that
+// transaction and be rolled back with it.
+TEST(Session, IsNotReusableWithAnOpenTransaction) {
+  EventLog log;
   auto session = ready_session(log);
   std::string sent, bytes;
   session.query(sent, {}, {"begin"});
@@ -210,8 +214,8 @@
   EXPECT_FALSE(session.reusable());
 }
 
-TEST(Session, RunsAStatementThoughASettingWasRejected) {
-  Log log;
+TEST(Session, RunsAStatementAfterARejectedSetting) {
+  EventLog log;
   auto session = ready_session(log);
   std::string sent, bytes;
   session.query(sent, {{"work_mem", "4MB"}, {"unknown.thing", "1"}}, {"select a"});
@@ -219,18 +223,18 @@
   put_ready(bytes);
   put_error(bytes, {"ERROR", "42704", "unknown"});
   put_ready(bytes);
-  session.feed(bytes + answer(), log, log.pause);
+  session.feed(bytes + response(), log, log.pause);
   EXPECT_EQ(log.text, "columns 1;row 1;row 1;complete SELECT 2;end;");
   EXPECT_EQ(session.settings_refused(), 1U);
 }
 
-TEST(Session, StopsAtAPauseAndGoesOnFromThere) {
-  Log log;
+TEST(Session, StopsAtAPauseAndResumesFromThere) {
+  EventLog log;
   auto session = ready_session(log);
   std::string sent;
   session.query(sent, {}, {"select a"});
   log.pause_at_row = true;
-  auto bytes = answer();
+  auto bytes = response();
   bytes.erase(0, session.feed(bytes, log, log.pause));
   EXPECT_EQ(log.text, "columns 1;row 1;");
   log.pause = log.pause_at_row = false;
@@ -244,20 +248,20 @@
   put_ready(ready);
   copy = std::string("G\0\0\0\7\0\0\0", 8);
   for (const auto& bytes : {row, ready, copy, std::string("?abcd")}) {
-    Log log;
+    EventLog log;
     auto session = ready_session(log);
     session.feed(bytes, log, log.pause);
     EXPECT_EQ(session.state(), SessionState::over);
   }
 }
 
-TEST(Session, BindsParametersByTheExtendedProtocol) {
+TEST(Session, BindsParametersWithTheExtendedProtocol) {
   Session session(1 << 16);
   std::string sent, in;
   session.start(sent, {{"user", "u"}});
   put_authentication_ok(in);
   put_ready(in);
-  Log log;
+  EventLog log;
   bool pause = false;
   session.feed(in, log, pause);
   sent.clear();
@@ -276,7 +280,7 @@
       ASSERT_TRUE(read);
       bound = *read;
       for (std::size_t n = 0; n < frame.message.payload.size(); ++n)
-        EXPECT_FALSE(read_bind(frame.message.payload.substr(0, n))) << n;
+        EXPECT_FALSE(read_bind(frame.message.payload.substr(0, n))) << "truncated after " << n << " bytes";
     }
     rest.remove_prefix(frame.size);
   }
@@ -295,7 +299,7 @@
   EXPECT_EQ(session.feed(in, log, pause), in.size());
   EXPECT_TRUE(session.reusable());
   EXPECT_NE(log.text.find("columns 2;row 2;"), std::string::npos) << log.text;
-  // Answers to Parse and Bind have no place in a simple query.
+  // ParseComplete and BindComplete are not valid in response to a simple query.
   session.query(sent, {}, {"select 1"});
   in.clear();
   put_parse_complete(in);
