--- a/tests/protocol/http_test.cpp
+++ b/tests/protocol/http_test.cpp
@@ -6,7 +6,7 @@
 namespace heronwell::http {
 namespace {
 
-// Everything a parser says of some bytes, as text, when they come in the given pieces.
+// Feeds `bytes` to a parser, split at `split` (0: byte by byte), and returns everything it reports as text.
 std::string transcript(std::string_view bytes, std::size_t split, Role role = Role::request,
                        Limits limits = {}) {
   Parser parser(role, limits);
@@ -33,14 +33,14 @@
       if (step.event == Parser::Event::need_more) return true;
     }
   };
-  if (split == 0) {  // a byte at a time
+  if (split == 0) {  // byte by byte
     for (const char& c : bytes)
       if (!feed({&c, 1})) return out;
   } else if (!feed(bytes.substr(0, split)) || !feed(bytes.substr(split))) {
     return out;
   }
   if (parser.close().event == Parser::Event::error)
-    out += "cut;";
+    out += "truncated;";
   else if (!body.empty())
     out += fmt::format("body {} at close;", body);
   return out;
@@ -49,28 +49,28 @@
 struct Case {
   const char* name;
   std::string bytes;
-  std::string told;  // the transcript, or its beginning where it ends in "..."
+  std::string expected;  // the whole transcript, or only its beginning if it ends in "..."
 };
 
 class Requests : public testing::TestWithParam<Case> {};
 
-TEST_P(Requests, AreReadTheSameHoweverTheyAreSplit) {
-  const auto& [name, bytes, told] = GetParam();
+TEST_P(Requests, AreParsedTheSameForEverySplit) {
+  const auto& [name, bytes, expected] = GetParam();
   const auto whole = transcript(bytes, bytes.size());
-  if (told.ends_with("..."))
-    EXPECT_TRUE(whole.starts_with(told.substr(0, told.size() - 3))) << whole;
+  if (expected.ends_with("..."))
+    EXPECT_TRUE(whole.starts_with(expected.substr(0, expected.size() - 3))) << whole;
   else
-    EXPECT_EQ(whole, told);
+    EXPECT_EQ(whole, expected);
   for (std::size_t at = 0; at < bytes.size(); ++at)
-    ASSERT_EQ(transcript(bytes, at), whole) << "split at " << at;
+    ASSERT_EQ(transcript(bytes, at), whole) << "input split at byte " << at;
 }
 
 const std::string kHost = "Host: a\r\n";
 INSTANTIATE_TEST_SUITE_P(
     , Requests,
     testing::Values(
-        Case{"plain", "GET / HTTP/1.1\r\n" + kHost + "\r\n", "head GET / 0;Host=a;body  keep true;"},
-        Case{"length", "POST /v1/query HTTP/1.1\r\n" + kHost + "Content-Length: 5\r\n\r\nhello",
+        Case{"no_body", "GET / HTTP/1.1\r\n" + kHost + "\r\n", "head GET / 0;Host=a;body  keep true;"},
+        Case{"content_length", "POST /v1/query HTTP/1.1\r\n" + kHost + "Content-Length: 5\r\n\r\nhello",
              "head POST /v1/query 0;Host=a;Content-Length=5;body hello keep true;"},
         Case{"chunked",
              "POST / HTTP/1.1\r\n" + kHost +
@@ -87,18 +87,18 @@
              "head GET / 0;Host=a;body  keep true;"},
         Case{"no_host", "GET / HTTP/1.1\r\n\r\n", "error 400 not one Host;"},
         Case{"two_hosts", "GET / HTTP/1.1\r\n" + kHost + kHost + "\r\n", "error 400 not one Host;"},
-        Case{"length_and_coding",
+        Case{"length_and_transfer_coding",
              "POST / HTTP/1.1\r\n" + kHost +
                  "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
              "error 400 Content-Length beside..."},
-        Case{"coding_and_length",
+        Case{"transfer_coding_and_length",
              "POST / HTTP/1.1\r\n" + kHost +
                  "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n",
              "error 400 Content-Length beside..."},
-        Case{"lengths_that_differ",
+        Case{"different_lengths",
              "POST / HTTP/1.1\r\n" + kHost + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
              "error 400 Content-Lengths..."},
-        Case{"lengths_alike",
+        Case{"equal_lengths",
              "POST / HTTP/1.1\r\n" + kHost + "Content-Length: 1\r\nContent-Length: 1\r\n\r\na",
              "head POST..."},
         Case{"length_list", "POST / HTTP/1.1\r\n" + kHost + "Content-Length: 1, 1\r\n\r\na",
@@ -106,17 +106,19 @@
         Case{"length_signed", "POST / HTTP/1.1\r\n" + kHost + "Content-Length: +1\r\n\r\na", "error 400..."},
         Case{"length_huge", "POST / HTTP/1.1\r\n" + kHost + "Content-Length: 99999999999999999999\r\n\r\n",
              "error 400..."},
-        Case{"coding_unknown", "POST / HTTP/1.1\r\n" + kHost + "Transfer-Encoding: gzip, chunked\r\n\r\n",
+        Case{"transfer_coding_unknown",
+             "POST / HTTP/1.1\r\n" + kHost + "Transfer-Encoding: gzip, chunked\r\n\r\n",
              "error 400 a coding..."},
-        Case{"coding_twice",
+        Case{"transfer_coding_twice",
              "POST / HTTP/1.1\r\n" + kHost +
                  "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n",
              "error 400 two..."},
-        Case{"coding_in_1_0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
+        Case{"transfer_coding_in_http_1_0", "POST / HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n",
              "error 400 a coding..."},
         Case{"bare_lf", "GET / HTTP/1.1\nHost: a\r\n\r\n", "error 400 an LF without CR;"},
         Case{"bare_cr", "GET / HTTP/1.1\r\nHost: a\rb\r\n\r\n", "error 400 a CR without LF;"},
-        Case{"folded", "GET / HTTP/1.1\r\n" + kHost + "X: a\r\n b\r\n\r\n", "error 400 a folded header;"},
+        Case{"folded_field", "GET / HTTP/1.1\r\n" + kHost + "X: a\r\n b\r\n\r\n",
+             "error 400 a folded header;"},
         Case{"space_before_colon", "GET / HTTP/1.1\r\nHost : a\r\n\r\n", "error 400 a malformed field name;"},
         Case{"nul", std::string("GET / HTTP/1.1\r\nHost: a\0\r\n\r\n", 29), "error 400 a control character;"},
         Case{"no_version", "GET /\r\n\r\n", "error 400..."},
@@ -133,42 +135,43 @@
         Case{"chunk_lf",
              "POST / HTTP/1.1\r\n" + kHost + "Transfer-Encoding: chunked\r\n\r\n5\nhello\r\n0\r\n\r\n",
              "head POST / 0;Host=a;Transfer-Encoding=chunked;error 400 an LF without CR;"},
-        Case{"cut_in_head", "GET / HTTP/1.1\r\nHo", "cut;"},
-        Case{"cut_in_body", "POST / HTTP/1.1\r\n" + kHost + "Content-Length: 9\r\n\r\nabc",
-             "head POST / 0;Host=a;Content-Length=9;cut;"}),
-    [](const auto& one) { return std::string(one.param.name); });
+        Case{"truncated_in_head", "GET / HTTP/1.1\r\nHo", "truncated;"},
+        Case{"truncated_in_body", "POST / HTTP/1.1\r\n" + kHost + "Content-Length: 9\r\n\r\nabc",
+             "head POST / 0;Host=a;Content-Length=9;truncated;"}),
+    [](const auto& test) { return std::string(test.param.name); });
 
-TEST(HttpLimits, AreNamedByTheirStatus) {
+TEST(HttpLimits, ExceedingEachLimitFailsWithItsStatus) {
   const Limits small{40, 100, 3, 10};
-  const auto told = [&](const std::string& bytes) {
+  const auto parse = [&](const std::string& bytes) {
     const auto whole = transcript(bytes, bytes.size(), Role::request, small);
     EXPECT_EQ(transcript(bytes, 0, Role::request, small), whole);
     return whole;
   };
-  EXPECT_TRUE(told("GET /" + std::string(40, 'a') + " HTTP/1.1\r\n").starts_with("error 414"));
-  EXPECT_TRUE(told("GET / HTTP/1.1\r\nHost: " + std::string(200, 'a')).starts_with("error 431"));
-  EXPECT_TRUE(told("GET / HTTP/1.1\r\nHost: a\r\nA: b\r\nC: d\r\nE: f\r\n\r\n").starts_with("error 431"));
-  EXPECT_TRUE(told("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 11\r\n\r\n").starts_with("error 413"));
-  EXPECT_NE(told("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nB\r\n").find("error 413"),
+  EXPECT_TRUE(parse("GET /" + std::string(40, 'a') + " HTTP/1.1\r\n").starts_with("error 414"));
+  EXPECT_TRUE(parse("GET / HTTP/1.1\r\nHost: " + std::string(200, 'a')).starts_with("error 431"));
+  EXPECT_TRUE(parse("GET / HTTP/1.1\r\nHost: a\r\nA: b\r\nC: d\r\nE: f\r\n\r\n").starts_with("error 431"));
+  EXPECT_TRUE(parse("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 11\r\n\r\n").starts_with("error 413"));
+  EXPECT_NE(parse("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\nB\r\n").find("error 413"),
             std::string::npos);
 }
 
-TEST(HttpResponses, EndByLengthByChunksOrByClosing) {
-  const auto told = [](const std::string& bytes) {
+TEST(HttpResponses, EndByLengthByChunksOrByConnectionClose) {
+  const auto parse = [](const std::string& bytes) {
     for (std::size_t at = 0; at <= bytes.size(); ++at)
-      EXPECT_EQ(transcript(bytes, at, Role::response), transcript(bytes, bytes.size(), Role::response)) << at;
+      EXPECT_EQ(transcript(bytes, at, Role::response), transcript(bytes, bytes.size(), Role::response))
+          << "input split at byte " << at;
     return transcript(bytes, bytes.size(), Role::response);
   };
-  EXPECT_EQ(told("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"),
+  EXPECT_EQ(parse("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"),
             "head   200;Content-Length=2;body hi keep true;");
-  EXPECT_EQ(told("HTTP/1.1 200 OK\r\n\r\nuntil the end"), "head   200;body until the end at close;");
-  EXPECT_EQ(told("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"),
+  EXPECT_EQ(parse("HTTP/1.1 200 OK\r\n\r\nuntil the end"), "head   200;body until the end at close;");
+  EXPECT_EQ(parse("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\n"),
             "head   100;body  keep true;head   204;body  keep true;");
-  EXPECT_EQ(told("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n"),
-            "head   200;Transfer-Encoding=chunked;cut;");
+  EXPECT_EQ(parse("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n"),
+            "head   200;Transfer-Encoding=chunked;truncated;");
 }
 
-TEST(HttpWriting, IsReadBackByTheParser) {
+TEST(HttpWriting, ParserReadsAWrittenResponse) {
   std::string out;
   put_response(out, 503, "application/json", std::nullopt, false, {{"retry-after", "1"}});
   put_chunk_prefix(out, 3);
--- a/tests/protocol/platform_test.cpp
+++ b/tests/protocol/platform_test.cpp
@@ -1,4 +1,5 @@
-// The platform's protocols, without sockets: frames, calls, events of the bus, and the group of a statement.
+// Tests the codecs of the platform's protocols without sockets: frames, query calls, endpoint events of the
+// bus, and the data group of a statement.
 #include <gtest/gtest.h>
 
 #include "base/bytes.hpp"
@@ -20,10 +21,10 @@
   return out + payload;
 }
 
-std::string fields(const std::vector<std::pair<std::string, std::string>>& all) {
+std::string fields(const std::vector<std::pair<std::string, std::string>>& field_list) {
   std::string out;
-  put_u8(out, static_cast<unsigned>(all.size()));
-  for (const auto& [name, value] : all) {
+  put_u8(out, static_cast<unsigned>(field_list.size()));
+  for (const auto& [name, value] : field_list) {
     put_u8(out, static_cast<unsigned>(name.size()));
     out += name;
     put_u16(out, static_cast<unsigned>(value.size()));
@@ -32,9 +33,9 @@
   return out;
 }
 
-std::string request_error(const std::vector<std::pair<std::string, std::string>>& all,
+std::string request_error(const std::vector<std::pair<std::string, std::string>>& field_list,
                           const std::string& body = "select 1") {
-  const auto bytes = frame(2, 1, fields(all) + body);
+  const auto bytes = frame(2, 1, fields(field_list) + body);
   const auto decoded = frames::decode(bytes);
   EXPECT_EQ(decoded.status, Status::frame);
   frames::Request request;
@@ -42,12 +43,12 @@
   return error ? std::string(frames::text_of(*error)) : "";
 }
 
-TEST(Frames, AreDecodedTheSameHoweverTheyAreSplit) {
+TEST(Frames, AreDecodedTheSameForEverySplit) {
   const auto bytes =
       frame(2, 7, fields({{"c", "report"}, {"i", "9b1f03aa5c7e2d41"}}) + "select 1") + frame(8, 7, "");
   for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
     const auto first = frames::decode(std::string_view(bytes).substr(0, cut));
-    ASSERT_NE(first.status, Status::error) << "cut at " << cut;
+    ASSERT_NE(first.status, Status::error) << "input truncated after " << cut << " bytes";
     if (first.status == Status::need_more) continue;
     EXPECT_EQ(first.frame.body, "select 1");
     EXPECT_EQ(frames::find(first.frame, "c"), "report");
@@ -57,39 +58,39 @@
   }
 }
 
-// A client sends a head that no frame can have and then nothing. Waiting for the rest would hold the
-// connection and its buffer until a time-out: what can be seen to be wrong is an error at once.
-TEST(Frames, ThatAreMalformedFailBeforeTheyAreComplete) {
+// A client sends an invalid frame header and then nothing. Waiting for the rest of the frame would hold the
+// connection and its buffer until a timeout, so an invalid header must fail at once.
+TEST(Frames, MalformedFramesFailBeforeTheyAreComplete) {
   for (const std::uint32_t length : {0U, 4U, 262'145U, 60'000'000U, 0xffffffffU, 0x80000000U}) {
     std::string bytes;
     put_u32(bytes, length);
-    EXPECT_EQ(frames::decode(bytes).status, Status::error) << length;
+    EXPECT_EQ(frames::decode(bytes).status, Status::error) << "length " << length;
   }
   EXPECT_EQ(frames::decode(frame(3, 1, "")).status, Status::error);
-  EXPECT_EQ(frames::decode(frame(4, 1, "")).status, Status::error) << "a router's own type";
-  EXPECT_EQ(frames::decode(frame(2, 0, fields({}))).status, Status::error) << "stream 0";
-  EXPECT_EQ(frames::decode(frame(2, 1, "")).status, Status::error) << "no count of fields";
+  EXPECT_EQ(frames::decode(frame(4, 1, "")).status, Status::error) << "a type that only the router sends";
+  EXPECT_EQ(frames::decode(frame(2, 0, fields({}))).status, Status::error) << "a request on stream 0";
+  EXPECT_EQ(frames::decode(frame(2, 1, "")).status, Status::error) << "the count of fields is missing";
   EXPECT_EQ(frames::decode(frame(2, 1, std::string("\2\1c\0\5ab", 7))).status, Status::error)
-      << "fields past the frame";
-  std::string most;
-  put_u32(most, 262'144);
-  EXPECT_EQ(frames::decode(most).status, Status::need_more);
+      << "the fields extend past the frame";
+  std::string longest;
+  put_u32(longest, 262'144);
+  EXPECT_EQ(frames::decode(longest).status, Status::need_more);
 }
 
-TEST(Frames, RequestsThatCannotBeUsedSayWhy) {
+TEST(Frames, InvalidRequestsReturnAnErrorText) {
   const std::pair<std::string, std::string> c{"c", "report"}, i{"i", "9b1f03aa5c7e2d41"}, d{"d", "1500"},
       t{"t", "acme"};
   EXPECT_EQ(request_error({c, i, d, t}), "");
-  EXPECT_NE(request_error({c, d, t}), "") << "no id";
+  EXPECT_NE(request_error({c, d, t}), "") << "the id is missing";
   for (const char* id : {"", "9b1f03aa5c7e2d4", "9b1f03aa5c7e2d411", "9b1f03aa5c7e2d4g", "9B1F03AA5C7E2D41"})
-    EXPECT_NE(request_error({c, {"i", id}, d, t}), "") << id;
-  for (const char* wait : {"", "0", "-1", "1e3", "15.5", "nan", "99999999999999999999", "1500 "})
-    EXPECT_NE(request_error({c, i, {"d", wait}, t}), "") << wait;
-  EXPECT_NE(request_error({c, c, i, d, t}), "") << "a field twice";
-  EXPECT_NE(request_error({c, i, d, t}, ""), "") << "no statement";
+    EXPECT_NE(request_error({c, {"i", id}, d, t}), "") << "id " << id;
+  for (const char* timeout : {"", "0", "-1", "1e3", "15.5", "nan", "99999999999999999999", "1500 "})
+    EXPECT_NE(request_error({c, i, {"d", timeout}, t}), "") << "timeout " << timeout;
+  EXPECT_NE(request_error({c, c, i, d, t}), "") << "a field occurs twice";
+  EXPECT_NE(request_error({c, i, d, t}, ""), "") << "the statement is missing";
 }
 
-http::Parser answer(const std::string& text, std::string& body) {
+http::Parser parse_response(const std::string& text, std::string& body) {
   http::Parser parser(http::Role::response);
   std::string_view rest = text;
   while (true) {
@@ -103,27 +104,28 @@
 }
 
 calls::QueryStatus status_of(const std::string& head, const std::string& body) {
-  std::string got;
-  const auto parser =
-      answer("HTTP/1.1 " + head + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body, got);
-  return calls::read_status(parser, got);
+  std::string received;
+  const auto parser = parse_response(
+      "HTTP/1.1 " + head + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body, received);
+  return calls::read_status(parser, received);
 }
 
-// Answers arrive damaged: without a page count, as another page than the first, with rows cut. None of them
-// may be delivered as a result.
-TEST(Calls, StatusIsReadAndMalformedAnswersAreRecognised) {
+// Responses arrive damaged: without a page count, as another page than the first, or with truncated rows.
+// None of them may be delivered as a result.
+TEST(Calls, StatusIsReadAndMalformedResponsesAreDetected) {
   using enum calls::QueryStatus::State;
   const std::string rows = "1\t2\t3\n4\t5\t6\n";
   EXPECT_EQ(status_of("200 OK\r\nX-Parts: 1\r\n", rows).state, complete);
   EXPECT_EQ(status_of("200 OK\r\nX-Parts: 3\r\n", rows).page_count, 3U);
-  EXPECT_EQ(status_of("200 OK\r\nX-Parts: 1\r\n", "").state, complete) << "a result without rows";
+  EXPECT_EQ(status_of("200 OK\r\nX-Parts: 1\r\n", "").state, complete) << "a result without rows is valid";
   for (const char* head :
        {"200 OK\r\n", "200 OK\r\nX-Parts: 0\r\n", "200 OK\r\nX-Parts: -1\r\n", "200 OK\r\nX-Parts: 65\r\n",
         "200 OK\r\nX-Parts: 1\r\nX-Part-No: 1\r\n", "404 Not Found\r\n"})
     EXPECT_EQ(status_of(head, rows).state, malformed) << head;
   for (const char* body : {"1\t2\t3", "1\t2\n", "1\t2\t3\t4\n", "1\t2\t3\n\n"})
     EXPECT_EQ(status_of("200 OK\r\nX-Parts: 1\r\n", body).state, malformed) << body;
-  EXPECT_EQ(status_of("200 OK\r\nX-Parts: 1\r\n", std::string(6'001, 'x')).state, malformed) << "over a page";
+  EXPECT_EQ(status_of("200 OK\r\nX-Parts: 1\r\n", std::string(6'001, 'x')).state, malformed)
+      << "larger than a page";
   const auto progress = status_of("202 Accepted\r\nX-Tell: spill_mb\r\nX-Amount: 12.5\r\n", "");
   EXPECT_EQ(progress.state, pending);
   EXPECT_EQ(progress.progress, ProgressKind::spill);
@@ -132,7 +134,7 @@
   EXPECT_FALSE(status_of("202 Accepted\r\nX-Tell: gossip\r\nX-Amount: 1\r\n", "").progress);
 }
 
-TEST(Calls, EachObservationIsOneResult) {
+TEST(Calls, EachObservationMapsToItsAttemptResult) {
   struct Row {
     const char* head;
     AttemptResult result;
@@ -154,32 +156,33 @@
   EXPECT_EQ(calls::attempt_result_of(cancelled), AttemptResult::cancelled);
 }
 
-TEST(Calls, APageIsAcceptedOnlyCompleteAndInItsTurn) {
+TEST(Calls, PageIsAcceptedOnlyIfCompleteAndWithTheExpectedNumber) {
   std::string body;
-  const auto page = answer("HTTP/1.1 200 OK\r\nX-Part-No: 2\r\nContent-Length: 6\r\n\r\na\tb\tc\n", body);
+  const auto page =
+      parse_response("HTTP/1.1 200 OK\r\nX-Part-No: 2\r\nContent-Length: 6\r\n\r\na\tb\tc\n", body);
   EXPECT_TRUE(calls::is_complete_page(page, body, 2));
-  EXPECT_FALSE(calls::is_complete_page(page, body, 1)) << "out of turn";
-  EXPECT_FALSE(calls::is_complete_page(page, "a\tb\n", 2)) << "a row cut";
+  EXPECT_FALSE(calls::is_complete_page(page, body, 1)) << "another page than expected";
+  EXPECT_FALSE(calls::is_complete_page(page, "a\tb\n", 2)) << "a truncated row";
 }
 
-TEST(Calls, LoadReportsComeInTheOrderOfTheSettings) {
+TEST(Calls, LoadReportValuesAreReturnedInTheOrderOfTheSettings) {
   std::string body;
-  const auto answered =
-      answer("HTTP/1.1 200 OK\r\nX-Report: util:0.61;inflight:7;new:1\r\nContent-Length: 0\r\n\r\n", body);
-  EXPECT_EQ(calls::read_load_report(answered, {LoadField::in_flight, LoadField::utilization}),
+  const auto valid = parse_response(
+      "HTTP/1.1 200 OK\r\nX-Report: util:0.61;inflight:7;new:1\r\nContent-Length: 0\r\n\r\n", body);
+  EXPECT_EQ(calls::read_load_report(valid, {LoadField::in_flight, LoadField::utilization}),
             (std::vector<double>{7, 0.61}));
-  EXPECT_TRUE(calls::read_load_report(answered, {LoadField::queue}).empty());
-  const auto odd =
-      answer("HTTP/1.1 200 OK\r\nX-Report: inflight:-7;util:inf;;:\r\nContent-Length: 0\r\n\r\n", body);
-  EXPECT_TRUE(calls::read_load_report(odd, {LoadField::in_flight, LoadField::utilization}).empty());
+  EXPECT_TRUE(calls::read_load_report(valid, {LoadField::queue}).empty());
+  const auto invalid = parse_response(
+      "HTTP/1.1 200 OK\r\nX-Report: inflight:-7;util:inf;;:\r\nContent-Length: 0\r\n\r\n", body);
+  EXPECT_TRUE(calls::read_load_report(invalid, {LoadField::in_flight, LoadField::utilization}).empty());
 }
 
-std::string event(int number, bool whole, const std::string& hosts) {
-  return R"({"offset":)" + std::to_string(number) + R"(,"topology":{"seq":1,"whole":)" +
-         (whole ? "true" : "false") + R"(,"hosts":[)" + hosts + "]}}";
+std::string event(int offset, bool snapshot, const std::string& hosts) {
+  return R"({"offset":)" + std::to_string(offset) + R"(,"topology":{"seq":1,"whole":)" +
+         (snapshot ? "true" : "false") + R"(,"hosts":[)" + hosts + "]}}";
 }
-std::string batch(int last, const std::string& events) {
-  return R"({"offset":)" + std::to_string(last) + R"(,"batch":[)" + events + "]}";
+std::string batch(int last_offset, const std::string& events) {
+  return R"({"offset":)" + std::to_string(last_offset) + R"(,"batch":[)" + events + "]}";
 }
 std::string host(const std::string& name, const std::string& health, int port = 1) {
   return R"({"host":")" + name + R"(","dial":"127.0.0.9:)" + std::to_string(port) +
@@ -191,21 +194,21 @@
   EXPECT_TRUE(events.apply(batch(1, event(1, true, host("a", "up") + "," + host("b", "up")))));
   EXPECT_EQ(events.entries().size(), 2U);
   EXPECT_EQ(events.entries()[0].started_ms, 77);
-  EXPECT_FALSE(events.apply(batch(1, ""))) << "nothing new";
+  EXPECT_FALSE(events.apply(batch(1, ""))) << "a batch without new events";
   EXPECT_TRUE(events.apply(
       batch(3, event(2, false, host("a", "draining")) + "," + event(3, false, host("b", "removed")))));
   ASSERT_EQ(events.entries().size(), 1U);
   EXPECT_EQ(events.entries()[0].state, EndpointState::draining);
   EXPECT_TRUE(
       events.apply(batch(4, event(2, false, host("a", "up")) + "," + event(4, false, host("c", "up")))))
-      << "2 is repeated";
+      << "event 2 is repeated and must be ignored";
   EXPECT_EQ(events.entries()[0].state, EndpointState::draining);
   EXPECT_EQ(events.offset(), 4U);
 }
 
-// An answer holds a delta that can be read and then something that can't. Applying the first and dropping the
-// rest would skip events for ever, since the next poll would ask for what follows them.
-TEST(Bus, AnAnswerThatCannotBeReadChangesNothing) {
+// A response contains a valid delta and then a malformed one. Applying the first and dropping the rest would
+// skip events permanently, since the next poll asks only for later events.
+TEST(Bus, MalformedResponseChangesNothing) {
   bus::EndpointEventReader events;
   ASSERT_TRUE(events.apply(batch(1, event(1, true, host("a", "up")))));
   const auto good = event(2, false, host("a", "draining"));
@@ -219,9 +222,9 @@
   }
 }
 
-// The bus has dropped events while the router was cut off. A delta on top of the gap would leave engines in
-// the list that have gone; a snapshot needs nothing of what was missed.
-TEST(Bus, ASnapshotMakesUpForMissingEvents) {
+// The bus dropped events while the router was disconnected. Applying a delta after the gap would leave
+// removed engines in the list; a snapshot replaces the list and does not need the missed events.
+TEST(Bus, SnapshotIsAppliedAfterMissingEvents) {
   bus::EndpointEventReader events;
   ASSERT_TRUE(events.apply(batch(1, event(1, true, host("a", "up")))));
   EXPECT_THROW(events.apply(batch(9, event(9, false, host("b", "up")))), std::invalid_argument);
@@ -232,7 +235,7 @@
   EXPECT_EQ(events.entries()[0].name, "c");
 }
 
-TEST(DataGroup, IsTheNumberOfTheSchemaAndOfNothingElse) {
+TEST(DataGroup, IsTheNumberInTheNameOfASchemaOnly) {
   const auto group = [](const char* text) { return sql::find_data_group(text).value_or(-1); };
   EXPECT_EQ(group("select * from sales_17.orders"), 17);
   EXPECT_EQ(group("SELECT id, n -- was: from mart_1.old\nFROM mart_9.lines"), 9);
