--- a/src/daemon/gossip_socket.cpp
+++ b/src/daemon/gossip_socket.cpp
@@ -70,14 +70,14 @@
 void GossipSocket::count(DatagramFault fault) {
   switch (fault) {
     case DatagramFault::none:
-      return metrics_.peers_taken->Increment();
+      return metrics_.gossip_accepted->Increment();
     case DatagramFault::forged:
-      return metrics_.peers_forged->Increment();
+      return metrics_.gossip_forged->Increment();
     case DatagramFault::malformed:
-      return metrics_.peers_malformed->Increment();
+      return metrics_.gossip_malformed->Increment();
     case DatagramFault::replayed:
     case DatagramFault::own:
-      return metrics_.peers_replayed->Increment();
+      return metrics_.gossip_replayed->Increment();
   }
 }
 
@@ -86,7 +86,7 @@
     if (gossip.to_router && *gossip.to_router != router_index) continue;
     boost::system::error_code ignored;  // a datagram may be lost anyway
     socket_.send_to(asio::buffer(codec_.seal(gossip.bytes)), address, 0, ignored);
-    metrics_.peers_sent->Increment();
+    metrics_.gossip_sent->Increment();
   }
 }
 
--- a/src/daemon/listener.cpp
+++ b/src/daemon/listener.cpp
@@ -56,7 +56,7 @@
     return accept_after_pause();
   }
   if (at_connection_limit()) {
-    metrics_.connections_refused->Increment();
+    metrics_.connections_rejected->Increment();
   } else {
     hand_over(shard, std::move(socket));
   }
--- a/src/emulator/transport.cpp
+++ b/src/emulator/transport.cpp
@@ -69,7 +69,7 @@
                 cost = std::move(cost)] {
       auto& shard = *self->carrier_.shard_;
       const auto& attempt = self->attempt_;
-      if (!load.empty()) shard.parameter(attempt, shard.config().engines.load_parameter, load);
+      if (!load.empty()) shard.handle_engine_parameter(attempt, shard.config().engines.load_parameter, load);
       if (!cost.empty()) shard.report_progress(attempt, {"NOTICE", "01H04", cost});
       attempt->response.sqlstate = code;
       self->finish(!code.empty()       ? sql::StatementResult::statement_error
--- a/src/path/client_connection.cpp
+++ b/src/path/client_connection.cpp
@@ -162,7 +162,7 @@
     return whole(client_request, 200, "text/plain", shard_.stopping() ? "stopping\n" : "ok\n");
   router::Problem problem;
   if (target == "/groups" && get && shard_.selectors())
-    return whole(client_request, 200, "application/json", shard_.metrics().groups());
+    return whole(client_request, 200, "application/json", shard_.metrics().groups_json());
   if (target == "/graphql" || target == "/v1/query") {
     trace_begin(shard_, *client_request, parser_);
     if (shard_.selectors())
@@ -190,7 +190,7 @@
 }
 
 void ClientConnection::reject(const ClientRequestPtr& client_request, const router::Problem& problem) {
-  shard_.metrics().rejected->Increment();
+  shard_.metrics().invalid_requests->Increment();
   shard_.record_finished(client_request, {'B', '-'}, problem.status);
   whole(client_request, problem.status, "application/problem+json", router::problem_body(problem));
 }
--- a/src/path/engine_connection.cpp
+++ b/src/path/engine_connection.cpp
@@ -234,12 +234,12 @@
 }
 
 void EngineConnection::on_parameter(std::string_view name, std::string_view value) {
-  if (attempt_) shard_.parameter(attempt_, name, value);
+  if (attempt_) shard_.handle_engine_parameter(attempt_, name, value);
 }
 
 void EngineConnection::on_statement_end() {
   const bool cancelling = state_ == EngineConnectionState::cancelling;
-  shard_.metrics().settings_refused->Increment(session_.settings_refused());
+  shard_.metrics().settings_rejected->Increment(session_.settings_refused());
   if (attempt_ && !attempt_->response_unwanted() && error_code_.empty() && !attempt_->response.table)
     attempt_->rows.finish(attempt_->response.json);
   forward_rows();
--- a/src/path/frame_client_connection.cpp
+++ b/src/path/frame_client_connection.cpp
@@ -145,7 +145,7 @@
 
 // The request was never admitted, so a retry is safe. A client that goes on sending such requests is closed.
 void FrameClientConnection::reject(std::uint32_t stream, std::string_view reason, frames::ResponseCode code) {
-  shard_.metrics().rejected->Increment();
+  shard_.metrics().invalid_requests->Increment();
   frames::put_response(write_buffer_, stream, code, {}, reason);
   if (++rejected_requests_ > kMaxRejectedRequests) close_with_error("too many requests that can't be taken");
 }
@@ -154,7 +154,7 @@
 // closed.
 void FrameClientConnection::close_with_error(std::string_view reason) {
   if (state_ != ClientConnectionState::reading) return;
-  shard_.metrics().rejected->Increment();
+  shard_.metrics().invalid_requests->Increment();
   drop_open_requests();
   frames::put_response(write_buffer_, 0, frames::ResponseCode::failed, {}, reason);
   apply(state_, ClientConnectionEvent::last_response);
--- a/src/path/metrics.cpp
+++ b/src/path/metrics.cpp
@@ -39,15 +39,15 @@
   for (const auto* result :
        {"served", "error", "turned_away", "timed_out", "not_connected", "reset", "called_off", "moot"})
     attempts.push_back(&tried.Add({{"result", result}}));
-  rejected = counter("heronwell_requests_rejected_total", "Bad input: never taken");
+  invalid_requests = counter("heronwell_requests_rejected_total", "Bad input: never taken");
   descriptor_waits =
       counter("heronwell_attempts_starved_total", "Waited for a descriptor to reach their engine");
   connections = counter("heronwell_connections_total", "Client connections accepted");
-  connections_refused = counter("heronwell_connections_refused_total", "Client connections over the limit");
+  connections_rejected = counter("heronwell_connections_refused_total", "Client connections over the limit");
   dials = counter("heronwell_engine_dials_total", "Connections opened to engines");
   redials = counter("heronwell_engine_stale_connections_total", "Pooled connections found closed before use");
   cancels = counter("heronwell_engine_cancels_total", "Cancel requests sent");
-  settings_refused =
+  settings_rejected =
       counter("heronwell_engine_settings_refused_total", "SETs that an engine answered with an error");
   list_updates = counter("heronwell_list_updates_total", "Engine lists taken");
   list_failures = counter("heronwell_list_failures_total", "Calls for the engine list that failed");
@@ -55,11 +55,11 @@
   groups_reloaded = counter("heronwell_groups_reloads_total", "Groups' files taken");
   groups_refused_reload = counter("heronwell_groups_reloads_refused_total", "Groups' files with an error");
   groups_schedules = counter("heronwell_groups_schedule_changes_total", "Changes of what schedules set");
-  peers_sent = counter("heronwell_peer_messages_sent_total", "Messages to other gateways");
-  peers_taken = counter("heronwell_peer_messages_taken_total", "Messages of other gateways");
-  peers_forged = counter("heronwell_peer_messages_forged_total", "Messages whose MAC is wrong");
-  peers_replayed = counter("heronwell_peer_messages_replayed_total", "Messages that came before");
-  peers_malformed = counter("heronwell_peer_messages_malformed_total", "Datagrams that are no message");
+  gossip_sent = counter("heronwell_peer_messages_sent_total", "Messages to other gateways");
+  gossip_accepted = counter("heronwell_peer_messages_taken_total", "Messages of other gateways");
+  gossip_forged = counter("heronwell_peer_messages_forged_total", "Messages whose MAC is wrong");
+  gossip_replayed = counter("heronwell_peer_messages_replayed_total", "Messages that came before");
+  gossip_malformed = counter("heronwell_peer_messages_malformed_total", "Datagrams that are no message");
   auto& graphql = BuildCounter()
                       .Name("heronwell_graphql_requests_total")
                       .Help("GraphQL requests by end")
@@ -143,7 +143,7 @@
   groups_json_ = std::move(json);
 }
 
-std::string Metrics::groups() const {
+std::string Metrics::groups_json() const {
   const std::lock_guard lock(mutex_);
   return groups_json_;
 }
--- a/src/path/metrics.hpp
+++ b/src/path/metrics.hpp
@@ -27,10 +27,10 @@
   };
   std::vector<PerClass> classes;
   std::vector<prometheus::Counter*> attempts;  // by Result
-  prometheus::Counter *rejected, *descriptor_waits, *connections, *connections_refused, *dials, *redials,
-      *cancels, *settings_refused;
+  prometheus::Counter *invalid_requests, *descriptor_waits, *connections, *connections_rejected, *dials,
+      *redials, *cancels, *settings_rejected;
   prometheus::Counter *list_updates, *list_failures, *list_refused;
-  prometheus::Counter *peers_sent, *peers_taken, *peers_forged, *peers_replayed, *peers_malformed;
+  prometheus::Counter *gossip_sent, *gossip_accepted, *gossip_forged, *gossip_replayed, *gossip_malformed;
   prometheus::Counter *graphql_served, *graphql_errors, *graphql_rejected, *graphql_left, *graphql_statements;
   prometheus::Gauge *graphql_open, *open, *pool, *clients, *engine_connections, *engines_ready, *decision_lag;
 
@@ -40,7 +40,7 @@
   void count_group(const groups::GroupView& group);
   void end_groups(std::string json);
   // All groups as JSON, for `heronwell groups`; from any thread.
-  [[nodiscard]] std::string groups() const;
+  [[nodiscard]] std::string groups_json() const;
   prometheus::Counter *groups_reloaded, *groups_refused_reload, *groups_schedules;
 
   [[nodiscard]] std::string text() const;
--- a/src/path/shard.cpp
+++ b/src/path/shard.cpp
@@ -183,7 +183,7 @@
   router::Problem problem;
   problem.status = 403;
   problem.detail = std::move(chosen.why);
-  metrics_.rejected->Increment();
+  metrics_.invalid_requests->Increment();
   record_finished(request, {'B', '-'}, problem.status);
   responses_.respond_with_problem(request, problem);
   return false;
@@ -458,7 +458,8 @@
   }
 }
 
-void Shard::parameter(const AttemptPtr& attempt, std::string_view name, std::string_view value) {
+void Shard::handle_engine_parameter(const AttemptPtr& attempt, std::string_view name,
+                                    std::string_view value) {
   const auto& fields = config_.module.load_fields;
   if (name != config_.engines.load_parameter || fields.empty()) return;
   if (attempt->ticket != 0 && !config_.module.load_reports_in_responses) return;
--- a/src/path/shard.hpp
+++ b/src/path/shard.hpp
@@ -116,7 +116,7 @@
   void report_progress(const AttemptPtr& attempt, ProgressKind kind, double amount);
   void report_progress(const AttemptPtr& attempt, const sql::ErrorText& notice);
   // A parameter that the engine reported on the attempt's connection: its load, or one that is ignored.
-  void parameter(const AttemptPtr& attempt, std::string_view name, std::string_view value);
+  void handle_engine_parameter(const AttemptPtr& attempt, std::string_view name, std::string_view value);
   // Sends a cancel request to the engine at `address`, for the connection that it knows by `process` and
   // `secret`.
   void request_cancel(const config::Address& address, std::uint32_t process, std::uint32_t secret);
