--- a/src/daemon/graceful_shutdown.cpp
+++ b/src/daemon/graceful_shutdown.cpp
@@ -83,7 +83,7 @@
 
 // The gauges count a request from its reading to its answer, also while it is between two threads.
 bool GracefulShutdown::requests_open() const {
-  return metrics_.open->Value() > 0 || metrics_.graphql_open->Value() > 0;
+  return metrics_.open_requests->Value() > 0 || metrics_.graphql_open->Value() > 0;
 }
 
 void GracefulShutdown::poll_again(std::function<void()> step) {
--- a/src/path/client_request.hpp
+++ b/src/path/client_request.hpp
@@ -136,7 +136,7 @@
   std::shared_ptr<Origin> origin;             // null: no groups
   std::string group;                          // its path
   groups::Limit limit = groups::Limit::none;  // of the group, that ended it
-  Time buffering_since{}, streaming_since{};
+  Time queued_since{}, streaming_since{};
 
   [[nodiscard]] bool finished() const { return response_state == ResponseState::complete; }
   [[nodiscard]] bool streaming() const { return response_state == ResponseState::streaming; }
--- a/src/path/decision_loop.cpp
+++ b/src/path/decision_loop.cpp
@@ -11,11 +11,12 @@
 // decision that matters.
 constexpr std::size_t kGroupsPerRefresh = 64;
 
-std::unique_ptr<groups::Shares> shares_of(const Config& config) {
+std::unique_ptr<groups::Shares> make_shares(const Config& config) {
   if (!config.groups) return nullptr;
-  std::vector<groups::Shares::ClassFacts> facts;
-  for (const auto& cls : config.module.classes) facts.push_back({cls.threads, cls.ordered_by_key});
-  return std::make_unique<groups::Shares>(config.groups->tree, std::move(facts), config.groups->settings);
+  std::vector<groups::Shares::ClassFacts> class_facts;
+  for (const auto& cls : config.module.classes) class_facts.push_back({cls.threads, cls.ordered_by_key});
+  return std::make_unique<groups::Shares>(config.groups->tree, std::move(class_facts),
+                                          config.groups->settings);
 }
 
 }  // namespace
@@ -25,7 +26,7 @@
     : environment_(environment),
       config_(config),
       metrics_(metrics),
-      registry_(config.module, seed, 1, shares_of(config)),
+      registry_(config.module, seed, 1, make_shares(config)),
       endpoints_(config.names.zones, config.names.machine_types, environment.unix_offset()),
       shard_commands_(shard_count) {
   if (config.groups) schedules_ = config.groups->schedules;
@@ -33,7 +34,7 @@
 }
 
 void DecisionLoop::receive(const std::vector<TimedEvent>& events) {
-  max_lag_ = std::max(max_lag_, environment_.now() - events.front().at);
+  max_event_delay_ = std::max(max_event_delay_, environment_.now() - events.front().at);
   for (const auto& event : events) on(event);
   run();
 }
@@ -60,13 +61,13 @@
 
 void DecisionLoop::apply_endpoints(const EndpointsChanged& changed) {
   if (changed.failed) {
-    metrics_.list_failures->Increment();
+    metrics_.endpoint_list_failures->Increment();
     return registry_.endpoints_updated({UpdateKind::failed, {}});
   }
   auto change = endpoints_.apply(changed.entries, environment_.now());
-  metrics_.list_updates->Increment();
+  metrics_.endpoint_list_updates->Increment();
   for (const auto& rejected : change.rejected) {
-    metrics_.list_refused->Increment();
+    metrics_.endpoints_rejected->Increment();
     environment_.log(Level::warn, fmt::format(R"({{"event":"endpoint_rejected","router":{},"detail":{}}})",
                                               quoted(config_.name), quoted(rejected.text())));
   }
@@ -126,23 +127,24 @@
   for (std::size_t c = 0; c < metrics_.classes.size(); ++c) {
     const auto view = registry_.decision_engine().class_view(static_cast<ClassIndex>(c));
     metrics_.classes[c].queued->Set(static_cast<double>(view.queued));
-    metrics_.classes[c].running->Set(view.running_threads);
-    metrics_.classes[c].budget->Set(view.budget_threads);
+    metrics_.classes[c].running_threads->Set(view.running_threads);
+    metrics_.classes[c].budget_threads->Set(view.budget_threads);
   }
-  metrics_.pool->Set(registry_.decision_engine().pool_threads());
+  metrics_.pool_threads->Set(registry_.decision_engine().pool_threads());
   if (registry_.groups() != nullptr) apply_schedules();
-  metrics_.decision_lag->Set(std::chrono::duration<double>(std::exchange(max_lag_, Time::zero())).count());
+  metrics_.decision_lag->Set(
+      std::chrono::duration<double>(std::exchange(max_event_delay_, Time::zero())).count());
 }
 
 // ---- groups ----------------------------------------------------------------------------------------------
 void DecisionLoop::apply_schedules() {
   auto& shares = *registry_.groups();
-  const auto unix = environment_.now() + environment_.unix_offset();
+  const auto unix_time = environment_.now() + environment_.unix_offset();
   shares.at(environment_.now(), registry_.decision_engine().pool_threads());
-  shares.adjust(schedules_->at(unix));
-  auto in_force = schedules_->in_force(unix);
+  shares.adjust(schedules_->at(unix_time));
+  auto in_force = schedules_->in_force(unix_time);
   if (in_force == schedules_in_force_) return;
-  metrics_.groups_schedules->Increment();
+  metrics_.group_schedule_changes->Increment();
   environment_.log(Level::info,
                    fmt::format(R"({{"event":"group_schedule","router":{},"in_force":{}}})",
                                quoted(config_.name), quoted(fmt::format("{}", fmt::join(in_force, ", ")))));
@@ -156,17 +158,17 @@
     for (std::size_t i = 0; i < schedules_in_force_.size(); ++i)
       groups_json_ += (i > 0 ? "," : "") + quoted(schedules_in_force_[i]);
     groups_json_ += "],\"groups\":[";
-    metrics_.begin_groups();
+    metrics_.begin_group_scan();
   }
   std::vector<groups::GroupView> views;
   const bool more = registry_.groups()->view_some(next_group_, kGroupsPerRefresh, views);
   for (const auto& group : views) {
     append_group_view(group);
-    metrics_.count_group(group);
+    metrics_.add_group(group);
   }
   if (!more) {
     next_group_ = 0;
-    metrics_.end_groups(groups_json_ + "]}");
+    metrics_.finish_group_scan(groups_json_ + "]}");
   }
   return more;
 }
@@ -188,20 +190,20 @@
   try {
     auto section = yaml::Section::text(text, config_.groups->file);
     auto plan = groups::Plan::read(section);
-    const auto before = registry_.groups()->requests();
+    const auto open_requests = registry_.groups()->requests();
     registry_.groups()->at(environment_.now(), registry_.decision_engine().pool_threads());
     registry_.groups()->reload(std::move(plan.tree));
     schedules_ = std::move(plan.schedules);
     const SelectorsPtr selectors = std::make_shared<const groups::Selectors>(std::move(plan.selectors));
     for (auto& commands : shard_commands_) commands.emplace_back(selectors);
-    metrics_.groups_reloaded->Increment();
+    metrics_.group_reloads->Increment();
     environment_.log(Level::info, fmt::format(R"({{"event":"groups_reloaded","router":{},"requests":{}}})",
-                                              quoted(config_.name), before));
+                                              quoted(config_.name), open_requests));
     next_group_ = 0;  // the scan starts over: its position is of the old tree
     apply_schedules();
     run();
   } catch (const yaml::Error& error) {
-    metrics_.groups_refused_reload->Increment();
+    metrics_.group_reloads_rejected->Increment();
     environment_.log(Level::warn,
                      fmt::format(R"({{"event":"groups_reload_rejected","router":{},"detail":{}}})",
                                  quoted(config_.name), quoted(error.what())));
--- a/src/path/decision_loop.hpp
+++ b/src/path/decision_loop.hpp
@@ -43,7 +43,7 @@
   void run();
   [[nodiscard]] Time next_due() const { return registry_.next_due(); }  // when to run() if no event comes
   // Calls `then` once, when the first endpoint list with a ready engine is in force.
-  void on_ready(std::function<void()> then) { on_ready_ = std::move(then); }
+  void on_ready(std::function<void()> callback) { on_ready_ = std::move(callback); }
 
   // The process ends: every open request gets its response.
   void begin_shutdown();
@@ -73,7 +73,7 @@
   std::vector<std::vector<ShardCommand>> shard_commands_;  // by shard, of this tick
   std::vector<router::Command> commands_;
   std::function<void()> on_ready_;
-  Time max_lag_{};  // of an event until it was taken in, since the metrics were updated
+  Time max_event_delay_{};  // of an event until it was taken in, since the metrics were updated
   std::vector<std::string> schedules_in_force_;
   groups::Shares::Number next_group_ = 0;  // of refresh_group_views()
   std::string groups_json_;                // as far as refresh_group_views() has come
--- a/src/path/graphql.cpp
+++ b/src/path/graphql.cpp
@@ -44,18 +44,18 @@
   return std::string(field);
 }
 
-const graphql::Definition* chosen(const graphql::Document& document, std::string_view name,
-                                  std::string& wrong) {
+const graphql::Definition* select_operation(const graphql::Document& document, std::string_view name,
+                                            std::string& error) {
   const graphql::Definition* found = nullptr;
   for (const auto& d : document.definitions) {
     if (d.kind == graphql::DefinitionKind::fragment || !d.executable()) continue;
     if (name.empty() && found != nullptr) {
-      wrong = "\"operationName\" is missing, and the document has several operations";
+      error = "\"operationName\" is missing, and the document has several operations";
       return nullptr;
     }
     if (name.empty() || d.name == name) found = &d;
   }
-  if (found == nullptr) wrong = fmt::format("the document has no operation \"{}\"", name);
+  if (found == nullptr) error = fmt::format("the document has no operation \"{}\"", name);
   return found;
 }
 
@@ -72,17 +72,18 @@
   try {
     return std::make_unique<graphql::Bound>(std::string(text), std::move(classes));
   } catch (const graphql::SchemaError& error) {
-    std::string all;
+    std::string messages;
     std::istringstream lines(error.what());
-    for (std::string line; std::getline(lines, line);) all += (all.empty() ? "" : "\n") + name + ":" + line;
-    throw yaml::Error(all);
+    for (std::string line; std::getline(lines, line);)
+      messages += (messages.empty() ? "" : "\n") + name + ":" + line;
+    throw yaml::Error(messages);
   }
 }
 
 Graphql::Graphql(const Config& config, std::shared_ptr<const graphql::Bound> bound, graphql::Clock now)
     : config_(config.graphql),
       now_(std::move(now)),
-      tenants_(router::tenant_names(config.module)),
+      tenant_names_(router::tenant_names(config.module)),
       bound_(std::move(bound)),
       documents_(std::make_unique<graphql::Documents>(bound_->schema(), config.graphql.limits,
                                                       config.graphql.documents, now_)),
@@ -92,20 +93,20 @@
 }
 
 std::optional<std::uint32_t> Graphql::tenant(std::string_view name) const {
-  const auto found = std::ranges::find(tenants_, name);
-  if (found == tenants_.end()) return std::nullopt;
-  return static_cast<std::uint32_t>(found - tenants_.begin());
+  const auto found = std::ranges::find(tenant_names_, name);
+  if (found == tenant_names_.end()) return std::nullopt;
+  return static_cast<std::uint32_t>(found - tenant_names_.begin());
 }
 
-graphql::Keys::Found Graphql::key_begin(const std::string& key, std::uint64_t fingerprint) {
+graphql::Keys::Found Graphql::begin_key(const std::string& key, std::uint64_t fingerprint) {
   const std::lock_guard lock(mutex_);
   return keys_.begin(now_(), key, fingerprint);
 }
-void Graphql::key_done(const std::string& key, std::string answer) {
+void Graphql::complete_key(const std::string& key, std::string answer) {
   const std::lock_guard lock(mutex_);
   keys_.done(now_(), key, std::move(answer));
 }
-void Graphql::key_forget(const std::string& key) {
+void Graphql::forget_key(const std::string& key) {
   const std::lock_guard lock(mutex_);
   keys_.forget(key);
 }
@@ -125,57 +126,57 @@
 void GraphqlRequest::start() {
   client_->response_handler = shared_from_this();
   shard_.metrics().graphql_open->Increment();
-  slots_.resize(ask_.operations.size());
-  for (std::size_t i = 0; i < slots_.size(); ++i) begin(slots_[i], i, ask_.operations[i]);
+  operations_.resize(ask_.operations.size());
+  for (std::size_t i = 0; i < operations_.size(); ++i) begin(operations_[i], i, ask_.operations[i]);
   advance();
 }
 
-void GraphqlRequest::reject(Slot& slot, const std::string& message, std::string_view code,
+void GraphqlRequest::reject(OperationState& state, const std::string& message, std::string_view code,
                             std::string_view rule) {
-  slot.response = graphql::request_errors({{std::string(rule), message, {}}}, code);
+  state.response = graphql::request_errors({{std::string(rule), message, {}}}, code);
 }
 
-void GraphqlRequest::begin(Slot& slot, std::size_t number, const graphql::Operation& operation) {
+void GraphqlRequest::begin(OperationState& state, std::size_t number, const graphql::Operation& operation) {
   auto& documents = graphql_.documents();
   auto text = operation.query;
   if (!operation.sha256.empty()) {
     if (text.empty()) {
       const auto known = documents.persisted(operation.sha256);
-      if (!known) return reject(slot, "PersistedQueryNotFound", "PERSISTED_QUERY_NOT_FOUND");
+      if (!known) return reject(state, "PersistedQueryNotFound", "PERSISTED_QUERY_NOT_FOUND");
       text = *known;
     } else if (graphql::sha256_hex(text) != operation.sha256) {
-      return reject(slot, "the document is not the one of this SHA-256", "PERSISTED_QUERY_MISMATCH");
+      return reject(state, "the document is not the one of this SHA-256", "PERSISTED_QUERY_MISMATCH");
     }
   }
-  bool fresh = false;
-  slot.prepared = documents.get(text, &fresh);
-  if (auto* trail = client_->trail.get(); trail != nullptr && fresh) {
+  bool newly_prepared = false;
+  state.prepared = documents.get(text, &newly_prepared);
+  if (auto* trail = client_->trail.get(); trail != nullptr && newly_prepared) {
     const auto now = shard_.now();
-    const auto parsed = now - slot.prepared->validating;
-    trail->add("parse", client_->span, parsed - slot.prepared->parsing, parsed);
-    trail->add("validate", client_->span, parsed, now);
+    const auto parsed_at = now - state.prepared->validating;
+    trail->add("parse", client_->span, parsed_at - state.prepared->parsing, parsed_at);
+    trail->add("validate", client_->span, parsed_at, now);
   }
-  const auto& prepared = *slot.prepared;
+  const auto& prepared = *state.prepared;
   if (!prepared.errors.empty()) {
-    const bool parsed = !prepared.errors.front().rule.empty();
-    slot.response = graphql::request_errors(prepared.errors,
-                                            parsed ? "GRAPHQL_VALIDATION_FAILED" : "GRAPHQL_PARSE_FAILED");
+    const bool was_parsed = !prepared.errors.front().rule.empty();
+    state.response = graphql::request_errors(
+        prepared.errors, was_parsed ? "GRAPHQL_VALIDATION_FAILED" : "GRAPHQL_PARSE_FAILED");
     return;
   }
   if (!operation.sha256.empty()) documents.persist(operation.sha256, text);
-  std::string wrong;
-  const auto* definition = chosen(prepared.document, operation.operation_name, wrong);
-  if (definition == nullptr) return reject(slot, wrong, "OPERATION_RESOLUTION_FAILURE");
+  std::string error;
+  const auto* definition = select_operation(prepared.document, operation.operation_name, error);
+  if (definition == nullptr) return reject(state, error, "OPERATION_RESOLUTION_FAILURE");
   const bool mutation = definition->kind == graphql::DefinitionKind::mutation;
   if (mutation && ask_.get) {
     status_ = 405;
-    return reject(slot, "a mutation is sent by POST", "BAD_REQUEST");
+    return reject(state, "a mutation is sent by POST", "BAD_REQUEST");
   }
-  if (mutation && ask_.batch) return reject(slot, "a mutation can't stand in a batch", "BAD_REQUEST");
+  if (mutation && ask_.batch) return reject(state, "a mutation can't stand in a batch", "BAD_REQUEST");
   auto variables = graphql::coerce_variables(graphql_.bound().schema(), prepared.document, *definition,
                                              operation.variables);
   if (!variables.errors.empty()) {
-    slot.response = graphql::request_errors(variables.errors, "BAD_USER_INPUT");
+    state.response = graphql::request_errors(variables.errors, "BAD_USER_INPUT");
     return;
   }
   graphql::Asked asked;
@@ -188,72 +189,73 @@
   asked.tenant = [this](std::string_view name) { return graphql_.tenant(name); };
   asked.hash = [](const std::string& value) { return XXH64(value.data(), value.size(), 0); };
   if (mutation) {
-    if (!claim_key(slot, operation, *definition)) return;
-    asked.idempotency_key = slot.key.empty() ? random_key(shard_.environment()) : slot.key;
+    if (!claim_key(state, operation, *definition)) return;
+    asked.idempotency_key = state.key.empty() ? random_key(shard_.environment()) : state.key;
   }
   if (client_->origin) {
-    slot.origin = std::make_shared<Origin>(*client_->origin);
-    slot.origin->operation = definition->name;
+    state.origin = std::make_shared<Origin>(*client_->origin);
+    state.origin->operation = definition->name;
     for (const auto& selection : definition->selections)
       if (selection.kind == graphql::SelectionKind::field)
-        slot.origin->root_fields.emplace_back(selection.name);
+        state.origin->root_fields.emplace_back(selection.name);
   }
-  slot.executed = true;
-  const auto planning = shard_.now();
-  slot.execution = std::make_unique<graphql::Execution>(graphql_.bound(), prepared.document, *definition,
-                                                        std::move(asked), graphql_.config().bounds);
+  state.executed = true;
+  const auto planning_started = shard_.now();
+  state.execution = std::make_unique<graphql::Execution>(graphql_.bound(), prepared.document, *definition,
+                                                         std::move(asked), graphql_.config().bounds);
   std::vector<graphql::Call> out;
-  slot.execution->start(shard_.now(), out);
-  for (auto& call : out) calls_.emplace_back(number, std::move(call));
-  if (client_->trail) client_->trail->add("plan", client_->span, planning, shard_.now());
+  state.execution->start(shard_.now(), out);
+  for (auto& call : out) pending_calls_.emplace_back(number, std::move(call));
+  if (client_->trail) client_->trail->add("plan", client_->span, planning_started, shard_.now());
 }
 
 // False: answered from the key, or rejected for it.
-bool GraphqlRequest::claim_key(Slot& slot, const graphql::Operation& operation,
+bool GraphqlRequest::claim_key(OperationState& state, const graphql::Operation& operation,
                                const graphql::Definition& definition) {
   const auto field = headers_.find("idempotency-key");
   if (field == headers_.end()) return true;
   const auto key = unquoted_key(field->second);
   if (key.empty() || key.size() > kMaxKeyBytes) {
     status_ = 400;
-    reject(slot, fmt::format("idempotency-key: expected from 1 to {} bytes", kMaxKeyBytes), "BAD_REQUEST");
+    reject(state, fmt::format("idempotency-key: expected from 1 to {} bytes", kMaxKeyBytes), "BAD_REQUEST");
     return false;
   }
   // All its fields are of classes with an idempotency key whose engines drop each other's repeats: what may
   // have run may be sent again.
-  slot.repeatable = true;
+  state.repeatable = true;
   const auto& bound = graphql_.bound();
-  for (const auto& s : definition.selections) {
-    const auto* of = s.kind == graphql::SelectionKind::field
-                         ? bound.schema().field(*bound.schema().root(definition.kind), s.name)
-                         : nullptr;
-    const auto* binding = of == nullptr ? nullptr : bound.binding(*of);
-    slot.repeatable = slot.repeatable && binding != nullptr && bound.cls(*binding).keyed;
+  for (const auto& selection : definition.selections) {
+    const auto* field_definition =
+        selection.kind == graphql::SelectionKind::field
+            ? bound.schema().field(*bound.schema().root(definition.kind), selection.name)
+            : nullptr;
+    const auto* binding = field_definition == nullptr ? nullptr : bound.binding(*field_definition);
+    state.repeatable = state.repeatable && binding != nullptr && bound.cls(*binding).keyed;
   }
-  std::string asked = operation.operation_name + '\n' + operation.query + operation.sha256 + '\n';
-  graphql::put_json(asked, operation.variables);
+  std::string fingerprinted = operation.operation_name + '\n' + operation.query + operation.sha256 + '\n';
+  graphql::put_json(fingerprinted, operation.variables);
   using State = graphql::Keys::State;
-  auto found = graphql_.key_begin(key, XXH64(asked.data(), asked.size(), 0));
+  auto found = graphql_.begin_key(key, XXH64(fingerprinted.data(), fingerprinted.size(), 0));
   switch (found.state) {
     case State::fresh:
-      slot.key = key;
+      state.key = key;
       return true;
     case State::known:
-      slot.executed = true;
-      slot.response = std::move(found.answer);
+      state.executed = true;
+      state.response = std::move(found.answer);
       return false;
     case State::in_progress:
       status_ = 409;
-      reject(slot, "a request with this idempotency key is not answered yet", "IDEMPOTENCY_KEY_IN_USE");
+      reject(state, "a request with this idempotency key is not answered yet", "IDEMPOTENCY_KEY_IN_USE");
       return false;
     case State::mismatch:
       status_ = 422;
-      reject(slot, "this idempotency key was used for another request", "IDEMPOTENCY_KEY_REUSED");
+      reject(state, "this idempotency key was used for another request", "IDEMPOTENCY_KEY_REUSED");
       return false;
     case State::full:
       status_ = 503;
       retry_after_ = std::max(retry_after_, kKeyMemoryRetryAfter);
-      reject(slot, "no more idempotency keys can be remembered just now; nothing was run",
+      reject(state, "no more idempotency keys can be remembered just now; nothing was run",
              "STATEMENT_REFUSED");
       return false;
   }
@@ -266,28 +268,30 @@
   if (advancing_ || finished_) return;
   advancing_ = true;
   const auto self = shared_from_this();
-  while (!finished_ && (!calls_.empty() || !finished_statements_.empty())) {
-    for (auto& [slot, call] : std::exchange(calls_, {})) submit_statement(slot, std::move(call));
-    for (auto& one : std::exchange(finished_statements_, {})) {
+  while (!finished_ && (!pending_calls_.empty() || !finished_statements_.empty())) {
+    for (auto& [operation, call] : std::exchange(pending_calls_, {}))
+      submit_statement(operation, std::move(call));
+    for (auto& finished : std::exchange(finished_statements_, {})) {
       std::vector<graphql::Call> out;
-      slots_[one.slot].execution->ended(shard_.now(), one.call, std::move(one.reply), out);
-      for (auto& call : out) calls_.emplace_back(one.slot, std::move(call));
+      operations_[finished.operation].execution->ended(shard_.now(), finished.call, std::move(finished.reply),
+                                                       out);
+      for (auto& call : out) pending_calls_.emplace_back(finished.operation, std::move(call));
     }
   }
   advancing_ = false;
-  for (auto& slot : slots_)
-    if (!slot.done() && slot.execution->done()) finish_operation(slot);
-  if (std::ranges::all_of(slots_, &Slot::done)) respond();
+  for (auto& state : operations_)
+    if (!state.done() && state.execution->done()) finish_operation(state);
+  if (std::ranges::all_of(operations_, &OperationState::done)) respond();
 }
 
-void GraphqlRequest::submit_statement(std::size_t slot, graphql::Call call) {
+void GraphqlRequest::submit_statement(std::size_t operation, graphql::Call call) {
   auto client_request = std::make_shared<ClientRequest>();
   const auto number = statement_count_++;
   client_request->response_handler = shared_from_this();
-  client_request->call_index = call.id << 16 | slot;
+  client_request->call_index = call.id << 16 | operation;
   client_request->statement_number = number;
   client_request->received_at = shard_.now();
-  client_request->origin = slots_[slot].origin;
+  client_request->origin = operations_[operation].origin;
   if (client_->trail) {
     client_request->trail = client_->trail;
     client_request->span = client_->trail->fresh();
@@ -305,13 +309,13 @@
   spec.request.estimated_memory_mb = call.memory_mb;
   spec.request.time_left =
       std::min(call.deadline - client_request->received_at, shard_.config().module.classes[call.cls].timeout);
-  open_.emplace(number, client_request);
+  open_statements_.emplace(number, client_request);
   shard_.metrics().graphql_statements->Increment();
   shard_.submit(client_request, std::move(spec));
 }
 
 void GraphqlRequest::on_statement_finished(const ClientRequestPtr& client_request, graphql::Reply reply) {
-  if (finished_ || open_.erase(client_request->statement_number) == 0) return;
+  if (finished_ || open_statements_.erase(client_request->statement_number) == 0) return;
   finished_statements_.push_back(
       {client_request->call_index & 0xffff, client_request->call_index >> 16, std::move(reply)});
   advance();
@@ -366,28 +370,28 @@
   on_statement_finished(client_request, std::move(reply));
 }
 
-void GraphqlRequest::finish_operation(Slot& slot) {
-  slot.response = slot.execution->response();
-  if (!slot.key.empty()) {
-    const bool unknown = slot.execution->any_unknown();
-    if (!slot.execution->any_effect() || (unknown && slot.repeatable))
-      graphql_.key_forget(slot.key);
+void GraphqlRequest::finish_operation(OperationState& state) {
+  state.response = state.execution->response();
+  if (!state.key.empty()) {
+    const bool unknown = state.execution->any_unknown();
+    if (!state.execution->any_effect() || (unknown && state.repeatable))
+      graphql_.forget_key(state.key);
     else
-      graphql_.key_done(slot.key, slot.response);
-    slot.key.clear();
+      graphql_.complete_key(state.key, state.response);
+    state.key.clear();
   }
-  slot.execution = nullptr;
+  state.execution = nullptr;
 }
 
 void GraphqlRequest::respond() {
   finished_ = true;
   std::string body;
   bool executed = true, errors = false;
-  for (const auto& slot : slots_) {
-    executed = executed && slot.executed;
-    errors = errors || slot.response.find("\"errors\":[") != std::string::npos;
+  for (const auto& state : operations_) {
+    executed = executed && state.executed;
+    errors = errors || state.response.find("\"errors\":[") != std::string::npos;
     body += body.empty() ? (ask_.batch ? "[" : "") : ",";
-    body += slot.response;
+    body += state.response;
   }
   if (ask_.batch) body += "]";
   const int status = status_ != 0 ? status_
@@ -406,34 +410,35 @@
             R"({{"event":"graphql","router":{},"status":{},"ms":{:.3f},"statements":{},"errors":{}}})",
             quoted(shard_.config().name), status, milliseconds(shard_.now() - client_->received_at),
             statement_count_, errors));
-  std::vector<http::Field> more;
-  const auto pause = std::to_string(router::retry_after_seconds(retry_after_));
-  if (retry_after_ > Time::zero()) more.push_back({"retry-after", pause});
-  if (status == 405) more.push_back({"allow", "POST"});
+  std::vector<http::Field> extra_fields;
+  const auto retry_after = std::to_string(router::retry_after_seconds(retry_after_));
+  if (retry_after_ > Time::zero()) extra_fields.push_back({"retry-after", retry_after});
+  if (status == 405) extra_fields.push_back({"allow", "POST"});
   const auto client = std::exchange(client_, nullptr);
   trace_end(shard_, *client, {errors ? 'E' : executed ? 'S' : 'B', '-'}, status);
   client->response_handler = nullptr;
   shard_.metrics().graphql_open->Decrement();
-  client->client->whole(client, status, graphql::media_type(ask_.media), std::move(body), more);
+  client->client->whole(client, status, graphql::media_type(ask_.media), std::move(body), extra_fields);
 }
 
 void GraphqlRequest::on_client_disconnected() {
   if (std::exchange(finished_, true)) return;
-  shard_.metrics().graphql_left->Increment();
+  shard_.metrics().graphql_disconnected->Increment();
   shard_.metrics().graphql_open->Decrement();
-  for (auto& slot : slots_) {
-    if (slot.key.empty()) continue;
+  for (auto& state : operations_) {
+    if (state.key.empty()) continue;
     // Failure: the client sends the key again while statements of the first request run on, and their effect
     // happens twice. Guard: the key is answered with "may have run", unless the engines drop repeats.
-    if (slot.repeatable)
-      graphql_.key_forget(slot.key);
+    if (state.repeatable)
+      graphql_.forget_key(state.key);
     else
-      graphql_.key_done(slot.key,
-                        R"({"data":null,"errors":[{"message":"its client left before it was answered; )"
-                        R"(it may have run","extensions":{"code":"OUTCOME_UNKNOWN","outcome":"failed",)"
-                        R"("retryHarmless":false}}]})");
+      graphql_.complete_key(state.key,
+                            R"({"data":null,"errors":[{"message":"its client left before it was answered; )"
+                            R"(it may have run","extensions":{"code":"OUTCOME_UNKNOWN","outcome":"failed",)"
+                            R"("retryHarmless":false}}]})");
   }
-  for (const auto& [number, client_request] : std::exchange(open_, {})) shard_.disconnect(client_request);
+  for (const auto& [number, client_request] : std::exchange(open_statements_, {}))
+    shard_.disconnect(client_request);
   if (client_) trace_end(shard_, *client_, {'C', '-'}, 0);
   client_ = nullptr;
 }
@@ -449,22 +454,22 @@
   auto& client = *client_request->client;
   if (std::holds_alternative<graphql::HttpPage>(read))
     return client.whole(client_request, 200, "text/html; charset=utf-8", std::string(kQueryPage));
-  const auto wrong = [&](const graphql::HttpWrong& why) {
+  const auto reject = [&](const graphql::HttpWrong& error) {
     shard.metrics().graphql_rejected->Increment();
-    std::vector<http::Field> more;
-    if (!why.allow.empty()) more.push_back({"allow", why.allow});
-    client.whole(client_request, why.status, graphql::media_type(why.media),
-                 error_body(why.message, "BAD_REQUEST"), more);
+    std::vector<http::Field> extra_fields;
+    if (!error.allow.empty()) extra_fields.push_back({"allow", error.allow});
+    client.whole(client_request, error.status, graphql::media_type(error.media),
+                 error_body(error.message, "BAD_REQUEST"), extra_fields);
   };
-  if (const auto* why = std::get_if<graphql::HttpWrong>(&read)) return wrong(*why);
+  if (const auto* error = std::get_if<graphql::HttpWrong>(&read)) return reject(*error);
   auto& ask = std::get<graphql::HttpAsk>(read);
-  if (shard.stopping()) return wrong({503, ask.media, "this router is stopping", {}});
+  if (shard.stopping()) return reject({503, ask.media, "this router is stopping", {}});
   auto timeout = graphql.config().timeout;
   if (const auto field = request.find("heronwell-timeout-ms")) {
     std::int64_t ms = 0;
     const auto [end, error] = std::from_chars(field->data(), field->data() + field->size(), ms);
     if (error != std::errc{} || end != field->data() + field->size() || ms < 1)
-      return wrong(
+      return reject(
           {400, ask.media, "heronwell-timeout-ms: expected a whole number of milliseconds from 1", {}});
     if (ms < timeout / 1ms) timeout = std::chrono::milliseconds(ms);
   }
--- a/src/path/graphql.hpp
+++ b/src/path/graphql.hpp
@@ -33,14 +33,14 @@
   // Names of the header fields that the schema or the keys look at.
   [[nodiscard]] const std::vector<std::string>& headers() const { return headers_; }
 
-  graphql::Keys::Found key_begin(const std::string& key, std::uint64_t fingerprint);
-  void key_done(const std::string& key, std::string answer);
-  void key_forget(const std::string& key);
+  graphql::Keys::Found begin_key(const std::string& key, std::uint64_t fingerprint);
+  void complete_key(const std::string& key, std::string answer);
+  void forget_key(const std::string& key);
 
  private:
   const Config::Graphql& config_;
   graphql::Clock now_;
-  std::vector<std::string> tenants_, headers_;
+  std::vector<std::string> tenant_names_, headers_;
   std::shared_ptr<const graphql::Bound> bound_;
   std::unique_ptr<graphql::Documents> documents_;
   std::mutex mutex_;
@@ -68,7 +68,7 @@
   void on_client_disconnected() override;
 
  private:
-  struct Slot {  // one operation of the request
+  struct OperationState {  // one operation of the request
     std::shared_ptr<const graphql::Prepared> prepared;
     std::unique_ptr<graphql::Execution> execution;
     std::string response, key;  // key: claimed in Keys
@@ -77,16 +77,18 @@
     [[nodiscard]] bool done() const { return !response.empty(); }
   };
   struct FinishedStatement {
-    std::size_t slot = 0, call = 0;
+    std::size_t operation = 0, call = 0;
     graphql::Reply reply;
   };
 
-  void begin(Slot& slot, std::size_t number, const graphql::Operation& operation);
-  bool claim_key(Slot& slot, const graphql::Operation& operation, const graphql::Definition& definition);
-  void reject(Slot& slot, const std::string& message, std::string_view code, std::string_view rule = {});
+  void begin(OperationState& state, std::size_t number, const graphql::Operation& operation);
+  bool claim_key(OperationState& state, const graphql::Operation& operation,
+                 const graphql::Definition& definition);
+  void reject(OperationState& state, const std::string& message, std::string_view code,
+              std::string_view rule = {});
   void advance();
-  void submit_statement(std::size_t slot, graphql::Call call);
-  void finish_operation(Slot& slot);
+  void submit_statement(std::size_t operation, graphql::Call call);
+  void finish_operation(OperationState& state);
   void respond();
   void on_statement_finished(const ClientRequestPtr& client_request, graphql::Reply reply);
 
@@ -96,10 +98,10 @@
   graphql::HttpAsk ask_;
   Headers headers_;
   Time deadline_;
-  std::vector<Slot> slots_;
-  std::vector<std::pair<std::size_t, graphql::Call>> calls_;
+  std::vector<OperationState> operations_;
+  std::vector<std::pair<std::size_t, graphql::Call>> pending_calls_;
   std::vector<FinishedStatement> finished_statements_;
-  std::map<std::size_t, ClientRequestPtr> open_;  // statements in flight, by number
+  std::map<std::size_t, ClientRequestPtr> open_statements_;  // statements in flight, by number
   std::size_t statement_count_ = 0;
   int status_ = 0;  // other than the media type's; 0: none
   Time retry_after_{};
--- a/src/path/grouping.cpp
+++ b/src/path/grouping.cpp
@@ -7,34 +7,34 @@
   origin.address = std::move(address);
   for (const auto& name : selectors.headers())
     if (const auto field = request.find(name)) origin.headers.emplace(name, *field);
-  auto tags = request.find(kTagsField).value_or("");
-  while (!tags.empty()) {
-    const auto comma = tags.find(',');
-    auto tag = tags.substr(0, comma);
+  auto tag_list = request.find(kTagsField).value_or("");
+  while (!tag_list.empty()) {
+    const auto comma = tag_list.find(',');
+    auto tag = tag_list.substr(0, comma);
     while (tag.starts_with(' ')) tag.remove_prefix(1);
     while (tag.ends_with(' ')) tag.remove_suffix(1);
     if (!tag.empty()) origin.tags.emplace_back(tag);
     if (comma == std::string_view::npos) break;
-    tags.remove_prefix(comma + 1);
+    tag_list.remove_prefix(comma + 1);
   }
   return origin;
 }
 
 groups::Described described(const Origin& origin, std::string cls, std::string tenant,
                             std::string_view statement) {
-  groups::Described d;
-  d.cls = std::move(cls);
-  d.tenant = std::move(tenant);
-  d.operation = origin.operation;
-  d.root_fields = origin.root_fields;
-  d.statement = groups::first_word(statement);
-  d.address = origin.address;
-  d.tags = origin.tags;
-  d.header = [&origin](std::string_view name) -> std::optional<std::string> {
+  groups::Described description;
+  description.cls = std::move(cls);
+  description.tenant = std::move(tenant);
+  description.operation = origin.operation;
+  description.root_fields = origin.root_fields;
+  description.statement = groups::first_word(statement);
+  description.address = origin.address;
+  description.tags = origin.tags;
+  description.header = [&origin](std::string_view name) -> std::optional<std::string> {
     const auto found = origin.headers.find(name);
     return found == origin.headers.end() ? std::nullopt : std::optional(found->second);
   };
-  return d;
+  return description;
 }
 
 }  // namespace heronwell::path
--- a/src/path/metrics.hpp
+++ b/src/path/metrics.hpp
@@ -18,46 +18,49 @@
 
 class Metrics {
  public:
-  explicit Metrics(const std::vector<std::string>& classes);
+  explicit Metrics(const std::vector<std::string>& class_names);
 
   struct PerClass {
-    prometheus::Counter *served, *error, *refused, *failed, *overdue, *left, *broken, *limited;
-    prometheus::Histogram* seconds;
-    prometheus::Gauge *queued, *running, *budget;
+    prometheus::Counter *served, *error, *rejected, *failed, *deadline_exceeded, *disconnected, *aborted,
+        *rejected_at_limit;
+    prometheus::Histogram* duration_seconds;
+    prometheus::Gauge *queued, *running_threads, *budget_threads;
   };
   std::vector<PerClass> classes;
   std::vector<prometheus::Counter*> attempts;  // by Result
   prometheus::Counter *invalid_requests, *descriptor_waits, *connections, *connections_rejected, *dials,
-      *redials, *cancels, *settings_rejected;
-  prometheus::Counter *list_updates, *list_failures, *list_refused;
+      *stale_connections, *cancels, *settings_rejected;
+  prometheus::Counter *endpoint_list_updates, *endpoint_list_failures, *endpoints_rejected;
   prometheus::Counter *gossip_sent, *gossip_accepted, *gossip_forged, *gossip_replayed, *gossip_malformed;
-  prometheus::Counter *graphql_served, *graphql_errors, *graphql_rejected, *graphql_left, *graphql_statements;
-  prometheus::Gauge *graphql_open, *open, *pool, *clients, *engine_connections, *engines_ready, *decision_lag;
+  prometheus::Counter *graphql_served, *graphql_errors, *graphql_rejected, *graphql_disconnected,
+      *graphql_statements;
+  prometheus::Gauge *graphql_open, *open_requests, *pool_threads, *clients, *engine_connections,
+      *engines_ready, *decision_lag;
 
   // Figures of the groups that are written down; those made on demand are summed under their parent's "*".
-  static constexpr std::size_t kMostGroups = 200;  // further ones are left out of the metrics
-  void begin_groups();
-  void count_group(const groups::GroupView& group);
-  void end_groups(std::string json);
+  static constexpr std::size_t kMaxGroups = 200;  // further ones are left out of the metrics
+  void begin_group_scan();
+  void add_group(const groups::GroupView& group);
+  void finish_group_scan(std::string json);
   // All groups as JSON, for `heronwell groups`; from any thread.
   [[nodiscard]] std::string groups_json() const;
-  prometheus::Counter *groups_reloaded, *groups_refused_reload, *groups_schedules;
+  prometheus::Counter *group_reloads, *group_reloads_rejected, *group_schedule_changes;
 
   [[nodiscard]] std::string text() const;
 
  private:
-  struct GroupSum {
-    double queued = 0, running = 0, set = 0, got = 0, used = 0;
-    std::map<std::string, std::uint64_t> refused;
+  struct GroupTotals {
+    double queued = 0, running_threads = 0, configured_share = 0, actual_share = 0, engine_seconds = 0;
+    std::map<std::string, std::uint64_t> rejected;
   };
-  struct PerGroup {
-    prometheus::Gauge *queued, *running, *share_set, *share_got;
-    prometheus::Counter* used;
-    std::map<std::string, prometheus::Counter*> refused;
+  struct GroupSeries {
+    prometheus::Gauge *queued, *running_threads, *configured_share, *actual_share;
+    prometheus::Counter* engine_seconds;
+    std::map<std::string, prometheus::Counter*> rejected;
   };
   prometheus::Registry registry_;
-  std::map<std::string, GroupSum> sums_;  // of the scan
-  std::map<std::string, PerGroup> groups_;
+  std::map<std::string, GroupTotals> group_totals_;  // of the scan
+  std::map<std::string, GroupSeries> group_series_;
   mutable std::mutex mutex_;
   std::string groups_json_;
 };
--- a/src/path/response_delivery.cpp
+++ b/src/path/response_delivery.cpp
@@ -31,7 +31,7 @@
   finish.last_result = AttemptResult::timed_out;
   finish.provably_never_ran = false;
   const auto problem = router::problem_of(finish);
-  shard_.metrics().classes[request->class_index].overdue->Increment();
+  shard_.metrics().classes[request->class_index].deadline_exceeded->Increment();
   record_finished(request, {'D', 'A'}, problem.status);
   respond_with_problem(request, problem);
   return true;
@@ -45,8 +45,8 @@
   shard_.forget_request(request);
   const bool error = !response.sqlstate.empty();
   if (request->streaming()) return finish_stream(request, error);
-  auto& counts = shard_.metrics().classes[request->class_index];
-  (error ? counts.error : counts.served)->Increment();
+  auto& counters = shard_.metrics().classes[request->class_index];
+  (error ? counters.error : counters.served)->Increment();
   record_finished(request, {error ? 'E' : 'S', 'A'}, error ? kStatementError : kOk);
   if (!request->client) return request->response_handler->on_served(request, std::move(response));
   if (!error) return request->client->whole(request, kOk, "application/json", std::move(response.json));
@@ -62,8 +62,8 @@
 // The statement failed after rows of it had gone out: the client must not take them for all, so its
 // connection is cut.
 void ResponseDelivery::finish_stream(const ClientRequestPtr& request, bool engine_error) {
-  auto& counts = shard_.metrics().classes[request->class_index];
-  (engine_error ? counts.broken : counts.served)->Increment();
+  auto& counters = shard_.metrics().classes[request->class_index];
+  (engine_error ? counters.aborted : counters.served)->Increment();
   record_finished(request, {engine_error ? 'E' : 'S', 'D'}, kOk);
   if (!engine_error) return request->client->end(request);
   apply(request->response_state, ResponseEvent::finish);
@@ -73,7 +73,7 @@
 void ResponseDelivery::abort_stream(const router::AbortStream& command) {
   const auto request = shard_.find_request(command.ticket);
   if (!request) return;
-  shard_.metrics().classes[request->class_index].broken->Increment();
+  shard_.metrics().classes[request->class_index].aborted->Increment();
   record_finished(request, {'X', 'D'}, kOk);
   shard_.forget_request(request);
   if (request->streaming()) {
@@ -97,15 +97,15 @@
   request->limit = command.limit;
   auto problem = router::problem_of(command);
   if (command.limit != groups::Limit::none) problem.detail += ", group " + request->group;
-  auto& counts = shard_.metrics().classes[request->class_index];
+  auto& counters = shard_.metrics().classes[request->class_index];
   char ended_by = 'D';
-  auto* counter = counts.overdue;
+  auto* counter = counters.deadline_exceeded;
   if (command.status == router::FinalStatus::rejected) {
     ended_by = 'R';
-    counter = counts.refused;
+    counter = counters.rejected;
   } else if (command.status == router::FinalStatus::failed) {
     ended_by = 'F';
-    counter = counts.failed;
+    counter = counters.failed;
   }
   counter->Increment();
   record_finished(request, {ended_by, command.attempts > 0 ? 'A' : 'H'}, problem.status);
@@ -133,20 +133,20 @@
   const auto duration = shard_.now() - request->received_at;
   const bool good = end.who == 'S' || end.who == 'E';
   if (good)
-    shard_.metrics().classes[request->class_index].seconds->Observe(
+    shard_.metrics().classes[request->class_index].duration_seconds->Observe(
         std::chrono::duration<double>(duration).count());
   if (config.log.requests == "none" || (config.log.requests == "problems" && good)) return;
   const auto& cls = config.module.classes[request->class_index];
-  std::string group;
-  if (!request->group.empty()) group = ",\"group\":" + quoted(request->group);
+  std::string group_fields;
+  if (!request->group.empty()) group_fields = ",\"group\":" + quoted(request->group);
   if (request->limit != groups::Limit::none)
-    group += fmt::format(",\"limit\":\"{}\"", groups::name_of(request->limit));
+    group_fields += fmt::format(",\"limit\":\"{}\"", groups::name_of(request->limit));
   shard_.environment().log(
       Level::info,
       fmt::format(
           R"({{"event":"request","router":{},"ticket":{},"class":{},"end":"{}","status":{},"ms":{:.3f},"attempts":{},"engine":{}{}}})",
           quoted(config.name), request->ticket, quoted(request->ticket == 0 ? "" : cls.name), end.text(),
-          status, milliseconds(duration), request->attempts, request->engine, group));
+          status, milliseconds(duration), request->attempts, request->engine, group_fields));
 }
 
 }  // namespace heronwell::path
--- a/src/path/shard.cpp
+++ b/src/path/shard.cpp
@@ -27,7 +27,7 @@
 constexpr unsigned kTicksPerSweep = 5;
 // Turns of the thread's queue until every socket with something to read has been read: one in which they are
 // found readable, one in which they are read.
-constexpr unsigned kTurnsToReadInput = 2;
+constexpr unsigned kLoopTurnsToReadInput = 2;
 
 }  // namespace
 
@@ -39,7 +39,7 @@
       metrics_(metrics),
       query_parser_(query_parser),
       tracer_(tracer),
-      tenants_(router::tenant_names(config.module)),
+      tenant_names_(router::tenant_names(config.module)),
       stall_detector_(now()),
       buffer_limit_(config.platform ? config.platform->held_bytes : 0),
       requests_(index),
@@ -138,7 +138,7 @@
 // ---- requests ------------------------------------------------------------------------------------------
 void Shard::submit(const ClientRequestPtr& request, router::RequestSpec spec) {
   request->class_index = spec.request.class_index;
-  request->buffering_since = now();
+  request->queued_since = now();
   request->tenant = spec.request.tenant;
   request->deadline = request->received_at + spec.request.time_left;
   spec.request.time_left = std::max(Time::zero(), request->deadline - now());
@@ -151,7 +151,7 @@
     return reject_at_limit(request, "allow.max_open requests are open here");
   requests_.add(request);
   spec.ticket = request->ticket;
-  metrics_.open->Increment();
+  metrics_.open_requests->Increment();
   publish(RequestReceived{spec});
 }
 
@@ -161,7 +161,7 @@
   problem.outcome = router::ProblemOutcome::rejected;
   problem.detail = std::move(reason);
   problem.retry_after = config_.module.max_retry_after;
-  metrics_.classes[request->class_index].limited->Increment();
+  metrics_.classes[request->class_index].rejected_at_limit->Increment();
   record_finished(request, {'L', '-'}, problem.status);
   responses_.respond_with_problem(request, problem);
 }
@@ -170,7 +170,8 @@
 bool Shard::choose_group(const ClientRequestPtr& request, router::RequestSpec& spec) {
   if (!selectors_) return true;
   static const Origin kNoOrigin;
-  const auto& tenant = request->tenant < tenants_.size() ? tenants_[request->tenant] : std::string();
+  const auto& tenant =
+      request->tenant < tenant_names_.size() ? tenant_names_[request->tenant] : std::string();
   auto chosen = selectors_->choose(described(request->origin ? *request->origin : kNoOrigin,
                                              config_.module.classes[request->class_index].name, tenant,
                                              request->statement->text));
@@ -190,7 +191,7 @@
 }
 
 void Shard::disconnect(const ClientRequestPtr& request) {
-  metrics_.classes[request->class_index].left->Increment();
+  metrics_.classes[request->class_index].disconnected->Increment();
   char stage = 'H';
   if (request->attempts > 0) stage = 'A';
   if (request->streaming()) stage = 'D';
@@ -204,7 +205,7 @@
 
 void Shard::forget_request(const ClientRequestPtr& request) {
   if (!requests_.erase(request)) return;
-  metrics_.open->Decrement();
+  metrics_.open_requests->Decrement();
   if (request->client_request_id.empty()) return;
   if (const auto waiting = deletions_.take_waiting(request->client_request_id))
     end_attempt(waiting, AttemptResult::never_started);
@@ -307,7 +308,7 @@
     return false;
   attempt->client_input_checked = true;
   deferred_attempts_.push_back(attempt);
-  launch_after(kTurnsToReadInput, attempt);
+  launch_after(kLoopTurnsToReadInput, attempt);
   return true;
 }
 
@@ -335,7 +336,7 @@
   attempt->address = pool->address;
   while (const auto connection = pool->take_idle(attempt->commanded_at)) {
     if (connection->start(attempt)) return;
-    metrics_.redials->Increment();
+    metrics_.stale_connections->Increment();
   }
   if (config_.platform && !descriptors_.evict_idle_connection()) return wait_for_descriptor(attempt);
   if (!config_.platform && pool->all.size() >= pool_cap())
--- a/src/path/shard.hpp
+++ b/src/path/shard.hpp
@@ -188,7 +188,7 @@
   trace::Tracer& tracer_;
   Graphql* graphql_ = nullptr;
   SelectorsPtr selectors_;
-  std::vector<std::string> tenants_;  // names, by index
+  std::vector<std::string> tenant_names_;  // by index
 
   StallDetector stall_detector_;
   BufferLimit buffer_limit_;
--- a/src/path/tracing.cpp
+++ b/src/path/tracing.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 // Names of AttemptResult as stored in trace files: they stay.
-constexpr std::array<const char*, 8> kResults{"served",        "error", "turned_away", "timed_out",
-                                              "not_connected", "reset", "called_off",  "moot"};
+constexpr std::array<const char*, 8> kResultNames{"served",        "error", "turned_away", "timed_out",
+                                                  "not_connected", "reset", "called_off",  "moot"};
 using Int = std::int64_t;
 
 }  // namespace
@@ -30,8 +30,8 @@
   auto* trail = client_request.trail.get();
   if (trail == nullptr) return;
   const auto now = shard.now();
-  trail->add("hold", client_request.span, client_request.buffering_since, now);
-  client_request.buffering_since = now;
+  trail->add("hold", client_request.span, client_request.queued_since, now);
+  client_request.queued_since = now;
   auto* span = trail->add("choice", client_request.span, now, now);
   if (span == nullptr) return;
   span->attributes = {{"class", shard.config().module.classes[client_request.class_index].name}};
@@ -50,7 +50,7 @@
   auto* client_request = attempt.request.get();
   auto* trail = client_request == nullptr ? nullptr : client_request->trail.get();
   if (trail == nullptr) return;
-  client_request->buffering_since = now;
+  client_request->queued_since = now;
   const bool sent = attempt.first_byte_sent_at > Time::zero();
   if (attempt.on_new_connection || !sent) {
     auto* dial = trail->add("dial", client_request->span, attempt.commanded_at,
@@ -59,7 +59,7 @@
       dial->attributes = {{"engine", Int{attempt.engine}}};
       dial->error = !sent;
       if (!sent)
-        dial->attributes.emplace_back("result", std::string(kResults[static_cast<std::size_t>(result)]));
+        dial->attributes.emplace_back("result", std::string(kResultNames[static_cast<std::size_t>(result)]));
     }
     if (!sent) return;
   }
@@ -69,7 +69,7 @@
   span->error = result != AttemptResult::served;
   span->attributes = {{"engine", Int{attempt.engine}},
                       {"attempt", Int{attempt.number}},
-                      {"result", std::string(kResults[static_cast<std::size_t>(result)])}};
+                      {"result", std::string(kResultNames[static_cast<std::size_t>(result)])}};
   if (!code.empty()) span->attributes.emplace_back("sqlstate", std::string(code));
   if (cancelled) span->attributes.emplace_back("called_off", true);
 }
--- a/tests/router/config_test.cpp
+++ b/tests/router/config_test.cpp
@@ -28,10 +28,10 @@
 }
 
 TEST(Config, IsReadWithUnitsAndDefaults) {
-  const auto c = read_config(yaml::Section::text(kBase, "f.yaml"));
-  EXPECT_EQ(c.module.classes[0].timeout, Time(5s));
-  EXPECT_EQ(c.listen.limits.body, 1U << 20);
-  EXPECT_EQ(c.name, "gateway-0");
+  const auto config = read_config(yaml::Section::text(kBase, "f.yaml"));
+  EXPECT_EQ(config.module.classes[0].timeout, Time(5s));
+  EXPECT_EQ(config.listen.limits.body, 1U << 20);
+  EXPECT_EQ(config.name, "gateway-0");
 }
 
 TEST(Config, ErrorsNamePlaceFieldAndWhatWasExpected) {
@@ -108,11 +108,11 @@
 // somebody else: they tell of a state that is gone. Bytes changed on the way, and messages under another key,
 // are not its own.
 TEST(Peers, ForgeriesAndEarlierIncarnationsAreDropped) {
-  GossipDatagramCodec before(kKey, 0, 10), after(kKey, 0, 11),
+  GossipDatagramCodec before_restart(kKey, 0, 10), after_restart(kKey, 0, 11),
       other("another key, also of thirty-two by", 0, 12), b(kKey, 1, 1);
-  const auto old = before.seal("old");
+  const auto old = before_restart.seal("old");
   EXPECT_EQ(b.open(other.seal("x")).fault, DatagramFault::forged);
-  auto flipped = after.seal("hello");
+  auto flipped = after_restart.seal("hello");
   for (std::size_t i = 4; i < flipped.size(); ++i) {
     flipped[i] = static_cast<char>(flipped[i] ^ 1);
     EXPECT_EQ(b.open(flipped).fault, DatagramFault::forged) << i;
@@ -121,7 +121,7 @@
   EXPECT_EQ(b.open(flipped).fault, DatagramFault::none);
   EXPECT_EQ(b.open(old).fault, DatagramFault::replayed);
   EXPECT_EQ(b.open("hwp1").fault, DatagramFault::malformed);
-  EXPECT_EQ(b.open(after.seal(std::string(257, 'x'))).fault, DatagramFault::malformed);
+  EXPECT_EQ(b.open(after_restart.seal(std::string(257, 'x'))).fault, DatagramFault::malformed);
   EXPECT_THROW(GossipDatagramCodec("short", 0, 0), std::invalid_argument);
 }
 
--- a/tests/router/endpoint_registry_test.cpp
+++ b/tests/router/endpoint_registry_test.cpp
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-EndpointEntry engine(const std::string& name) {
+EndpointEntry ready_engine(const std::string& name) {
   EndpointEntry entry;
   entry.name = name;
   entry.host = "127.0.0.1";
@@ -25,21 +25,21 @@
 
 TEST(Fleet, KeepsIdsAndTimesAcrossLists) {
   EndpointRegistry endpoints({"a"}, {"small"}, 0s);
-  auto change = endpoints.apply({engine("x"), engine("y")}, 1s);
+  auto change = endpoints.apply({ready_engine("x"), ready_engine("y")}, 1s);
   ASSERT_EQ(change.update.endpoints.size(), 2U);
   EXPECT_TRUE(change.changed);
   const auto id = change.update.endpoints[0].engine;
   EXPECT_EQ(id, EndpointRegistry::id_of("x"));
-  EXPECT_FALSE(endpoints.apply({engine("x"), engine("y")}, 2s).changed);
-  auto drained = engine("x");
+  EXPECT_FALSE(endpoints.apply({ready_engine("x"), ready_engine("y")}, 2s).changed);
+  auto drained = ready_engine("x");
   drained.state = EndpointState::draining;
-  endpoints.apply({drained, engine("y")}, 3s);
+  endpoints.apply({drained, ready_engine("y")}, 3s);
   EXPECT_EQ(endpoints.find(id)->not_ready_since, Time(3s));
-  endpoints.apply({engine("y")}, 4s);
+  endpoints.apply({ready_engine("y")}, 4s);
   EXPECT_EQ(endpoints.find(id)->not_ready_since, Time(3s))
       << "removed, but not ready since it began to drain";
   EXPECT_EQ(endpoints.find(id)->entry.state, EndpointState::removed);
-  endpoints.apply({engine("x")}, 5s);
+  endpoints.apply({ready_engine("x")}, 5s);
   EXPECT_FALSE(endpoints.find(id)->not_ready_since);
 }
 
@@ -47,27 +47,28 @@
 // failures of one would be laid to the other: the later entry is left out, and the list is used without it.
 TEST(Fleet, RejectsEntriesThatCannotBeToldApart) {
   // Two names whose numbers are the same, found by trying.
-  std::map<EngineId, std::string> seen;
+  std::map<EngineId, std::string> names_by_id;
   std::string a, b;
   for (int i = 0; a.empty(); ++i) {
     const auto name = "engine-" + std::to_string(i);
-    const auto [at, fresh] = seen.emplace(EndpointRegistry::id_of(name), name);
-    if (!fresh) a = at->second, b = name;
+    const auto [found, inserted] = names_by_id.emplace(EndpointRegistry::id_of(name), name);
+    if (!inserted) a = found->second, b = name;
   }
   EndpointRegistry endpoints({"a"}, {"small"}, 0s);
-  const auto change = endpoints.apply({engine(a), engine(b), engine("z"), engine("z")}, 1s);
+  const auto change =
+      endpoints.apply({ready_engine(a), ready_engine(b), ready_engine("z"), ready_engine("z")}, 1s);
   EXPECT_EQ(change.update.endpoints.size(), 2U);
   ASSERT_EQ(change.rejected.size(), 2U);
   EXPECT_EQ(change.rejected[0].text(), b + ": has the number of " + a);
   EXPECT_EQ(change.rejected[1].text(), "z: is listed twice");
-  auto far = engine("w");
-  far.zone = "moon";
-  EXPECT_EQ(endpoints.apply({far}, 2s).rejected[0].text(), "w: zone \"moon\" is not configured");
+  auto unknown_zone = ready_engine("w");
+  unknown_zone.zone = "moon";
+  EXPECT_EQ(endpoints.apply({unknown_zone}, 2s).rejected[0].text(), "w: zone \"moon\" is not configured");
 }
 
 TEST(Fleet, StartsAreConvertedToTheRoutersClock) {
   EndpointRegistry endpoints({"a"}, {"small"}, 1000s);
-  auto started = engine("x");
+  auto started = ready_engine("x");
   started.started_ms = 1'005'000;
   EXPECT_EQ(endpoints.apply({started}, 10s).update.endpoints[0].last_started, Time(5s));
   started.started_ms = 1;  // before the clock began
@@ -75,13 +76,13 @@
 }
 
 TEST(Fleet, ReadsWhatConsulSays) {
-  auto draining = engine("x"), gone = engine("y");
+  auto draining = ready_engine("x"), removed = ready_engine("y");
   draining.state = EndpointState::draining;
   draining.cell = 3;
   draining.started_ms = 77;
-  gone.state = EndpointState::removed;
-  EXPECT_EQ(read_consul(write_consul({draining, gone, engine("z")}, "sql")),
-            (std::vector<EndpointEntry>{draining, gone, engine("z")}));
+  removed.state = EndpointState::removed;
+  EXPECT_EQ(read_consul(write_consul({draining, removed, ready_engine("z")}, "sql")),
+            (std::vector<EndpointEntry>{draining, removed, ready_engine("z")}));
   const auto read = read_consul(
       R"([{"Node":{"Node":"n","Address":"10.0.0.1"},"Service":{"ID":"e","Address":"","Port":5432,"Meta":null},
           "Checks":[{"CheckID":"_node_maintenance","Status":"critical"},{"CheckID":"x","Status":"warning"}]}])");
--- a/tests/router/groups_test.cpp
+++ b/tests/router/groups_test.cpp
@@ -5,7 +5,7 @@
 #include <ranges>
 #include <set>
 
-#include "driven_registry.hpp"
+#include "request_registry_fixture.hpp"
 #include "router/query_parser.hpp"
 
 namespace heronwell::router {
@@ -13,38 +13,40 @@
 
 using namespace std::chrono_literals;
 
-class GroupLimitsTest : public DrivenRegistry {
+class GroupLimitsTest : public RequestRegistryFixture {
  protected:
   void start(const std::string& groups, Idempotency idempotency = Idempotency::idempotent,
              unsigned engines = 2, bool gossip = false) {
-    auto s = one_class(idempotency);
-    s.cancellation_enabled = cancellation_enabled;
-    s.max_retry_after = 700ms;
-    s.gossip_enabled = gossip;
-    s.router_count = gossip ? 2 : 1;
+    auto registry_settings = one_class(idempotency);
+    registry_settings.cancellation_enabled = cancellation_enabled;
+    registry_settings.max_retry_after = 700ms;
+    registry_settings.gossip_enabled = gossip;
+    registry_settings.router_count = gossip ? 2 : 1;
     auto section = yaml::Section::text("groups: " + groups, "test");
     groups::ShareSettings settings;
-    settings.gateways = s.router_count;
+    settings.gateways = registry_settings.router_count;
     registry.emplace(
-        s, 1, 1,
+        registry_settings, 1, 1,
         std::make_unique<groups::Shares>(groups::Tree::read(section),
                                          std::vector<groups::Shares::ClassFacts>{{1, false}}, settings));
-    list(engines);
-    run();
+    set_engine_count(engines);
+    run_until_idle();
+  }
+  void add_request(Ticket ticket, const std::string& group) {
+    RequestRegistryFixture::add_request(ticket, 2s, group);
   }
-  void arrive(Ticket ticket, const std::string& group) { DrivenRegistry::arrive(ticket, 2s, group); }
   bool cancellation_enabled = true;
 };
 
 TEST_F(GroupLimitsTest, RejectsAtOnceWhatAGroupDoesNotAdmit) {
   start("{a: {max_queued: 1, max_threads: 1}}");
-  arrive(1, "a");
-  run();
-  arrive(2, "a");
-  arrive(3, "a");
-  arrive(4, "b");
-  run();
-  const auto answers = all<FinishRequest>();
+  add_request(1, "a");
+  run_until_idle();
+  add_request(2, "a");
+  add_request(3, "a");
+  add_request(4, "b");
+  run_until_idle();
+  const auto answers = commands_of<FinishRequest>();
   ASSERT_EQ(answers.size(), 2u);
   EXPECT_EQ(answers[0].ticket, 3u);
   EXPECT_EQ(answers[0].limit, groups::Limit::queued);
@@ -65,36 +67,36 @@
     cancellation_enabled =
         idempotency == Idempotency::idempotent;  // where the engine may cancel nothing, the registry stops it
     start("{a: {query_time: 300ms}}", idempotency);
-    arrive(1, "a");
-    run();
-    ASSERT_EQ(all<DispatchAttempt>().size(), 1u);
-    wait(400ms);
-    const auto answers = all<FinishRequest>();
+    add_request(1, "a");
+    run_until_idle();
+    ASSERT_EQ(commands_of<DispatchAttempt>().size(), 1u);
+    advance_time(400ms);
+    const auto answers = commands_of<FinishRequest>();
     ASSERT_EQ(answers.size(), 1u);
     EXPECT_EQ(answers[0].status,
               idempotency == Idempotency::idempotent ? FinalStatus::rejected : FinalStatus::failed);
     EXPECT_EQ(answers[0].limit, groups::Limit::run);
-    EXPECT_EQ(all<StopAttempt>().size(), 1u) << "its attempt is cancelled, once";
-    end(1, 0, AttemptResult::cancelled);
-    run();
+    EXPECT_EQ(commands_of<StopAttempt>().size(), 1u) << "its attempt is cancelled, once";
+    finish_attempt(1, 0, AttemptResult::cancelled);
+    run_until_idle();
     EXPECT_EQ(registry->groups()->requests(), 0u);
     EXPECT_EQ(registry->remembered_count(), 0u);
-    EXPECT_EQ(all<FinishRequest>().size(), 1u);
+    EXPECT_EQ(commands_of<FinishRequest>().size(), 1u);
   }
 }
 
 TEST_F(GroupLimitsTest, AnAttemptThatNeverRanCostsItsGroupNothing) {
   start("{a: {}, b: {}}");
-  arrive(1, "a");
-  run();
-  ASSERT_EQ(all<DispatchAttempt>().size(), 1u);
+  add_request(1, "a");
+  run_until_idle();
+  ASSERT_EQ(commands_of<DispatchAttempt>().size(), 1u);
   now += 400ms;
-  end(1, 0, AttemptResult::not_connected);
-  run();
-  ASSERT_EQ(all<DispatchAttempt>().size(), 2u) << "retried";
+  finish_attempt(1, 0, AttemptResult::not_connected);
+  run_until_idle();
+  ASSERT_EQ(commands_of<DispatchAttempt>().size(), 2u) << "retried";
   now += 100ms;
-  end(1, 1, AttemptResult::served);
-  run();
+  finish_attempt(1, 1, AttemptResult::served);
+  run_until_idle();
   for (const auto& group : registry->groups()->view())
     if (group.path == "a") {
       EXPECT_NEAR(group.used_s, 0.1, 0.001);
@@ -110,91 +112,93 @@
   const std::array<std::string, 5> paths{"a.x", "a.y", "b", "z.moved", "nowhere"};
   for (std::uint32_t seed = 1; seed <= 25; ++seed) {
     std::mt19937 random(seed);
-    const auto drawn = [&](unsigned n) { return random() % n; };
+    const auto draw = [&](unsigned n) { return random() % n; };
     commands.clear();
     now = 1s;
     start(plans[0], seed % 2 == 0 ? Idempotency::idempotent : Idempotency::not_idempotent, 2, seed % 3 == 0);
-    Ticket tickets = 0;
-    std::map<std::pair<Ticket, AttemptIndex>, bool> out;
-    std::map<Ticket, int> ends;
-    std::set<Ticket> gone;
-    std::size_t seen = 0;
-    const auto settle = [&] {
-      for (; seen < commands.size(); ++seen) {
-        const auto& c = commands[seen];
-        if (const auto* s = std::get_if<DispatchAttempt>(&c)) out[{s->ticket, s->attempt}] = false;
-        if (const auto* s = std::get_if<StopAttempt>(&c)) {
-          if (out.contains({s->ticket, s->attempt})) out[{s->ticket, s->attempt}] = true;
+    Ticket last_ticket = 0;
+    std::map<std::pair<Ticket, AttemptIndex>, bool> in_flight;
+    std::map<Ticket, int> final_answers;
+    std::set<Ticket> disconnected;
+    std::size_t processed_commands = 0;
+    const auto collect_commands = [&] {
+      for (; processed_commands < commands.size(); ++processed_commands) {
+        const auto& command = commands[processed_commands];
+        if (const auto* s = std::get_if<DispatchAttempt>(&command))
+          in_flight[{s->ticket, s->attempt}] = false;
+        if (const auto* s = std::get_if<StopAttempt>(&command)) {
+          if (in_flight.contains({s->ticket, s->attempt})) in_flight[{s->ticket, s->attempt}] = true;
         }
-        if (const auto* d = std::get_if<DeliverResponse>(&c)) ++ends[d->ticket];
-        if (const auto* a = std::get_if<FinishRequest>(&c)) ++ends[a->ticket];
+        if (const auto* d = std::get_if<DeliverResponse>(&command)) ++final_answers[d->ticket];
+        if (const auto* a = std::get_if<FinishRequest>(&command)) ++final_answers[a->ticket];
       }
     };
     for (int i = 0; i < 1500; ++i) {
-      now += drawn(200) == 0 ? Time(800ms) : Time(drawn(8'000'000));
-      const auto what = drawn(10);
-      if (what < 5) arrive(++tickets, paths[drawn(5)]);
-      if (what >= 5 && what < 9 && !out.empty()) {
-        auto it = std::next(out.begin(), drawn(static_cast<unsigned>(out.size())));
+      now += draw(200) == 0 ? Time(800ms) : Time(draw(8'000'000));
+      const auto action = draw(10);
+      if (action < 5) add_request(++last_ticket, paths[draw(5)]);
+      if (action >= 5 && action < 9 && !in_flight.empty()) {
+        auto it = std::next(in_flight.begin(), draw(static_cast<unsigned>(in_flight.size())));
         const auto [ticket, attempt] = it->first;
         constexpr std::array results{AttemptResult::served,        AttemptResult::served,
                                      AttemptResult::served,        AttemptResult::reset,
                                      AttemptResult::not_connected, AttemptResult::rejected};
-        const auto result = it->second ? AttemptResult::cancelled : results[drawn(6)];
-        out.erase(it);
-        end(ticket, attempt, result);
+        const auto result = it->second ? AttemptResult::cancelled : results[draw(6)];
+        in_flight.erase(it);
+        finish_attempt(ticket, attempt, result);
       }
-      if (what == 9 && tickets > 0) {
-        const auto ticket = 1 + drawn(static_cast<unsigned>(tickets));
-        if (ends[ticket] == 0) {
+      if (action == 9 && last_ticket > 0) {
+        const auto ticket = 1 + draw(static_cast<unsigned>(last_ticket));
+        if (final_answers[ticket] == 0) {
           registry->client_disconnected(ticket);
-          gone.insert(ticket);
+          disconnected.insert(ticket);
         }
       }
-      if (drawn(100) == 0) {
-        auto section = yaml::Section::text("groups: " + plans[drawn(2)], "test");
+      if (draw(100) == 0) {
+        auto section = yaml::Section::text("groups: " + plans[draw(2)], "test");
         registry->groups()->reload(groups::Tree::read(section));
       }
-      run();
-      settle();
+      run_until_idle();
+      collect_commands();
       ASSERT_EQ(registry->groups()->inconsistency(), "") << "seed " << seed << ", step " << i;
       ASSERT_EQ(registry->groups()->requests() > 0, registry->remembered_count() > 0)
           << "seed " << seed << ", step " << i;
     }
     for (int i = 0; i < 400; ++i) {
       now += 20ms;
-      for (const auto& [key, stopped] : std::map(out)) {
-        out.erase(key);
-        end(key.first, key.second, AttemptResult::served);
+      for (const auto& [key, stopped] : std::map(in_flight)) {
+        in_flight.erase(key);
+        finish_attempt(key.first, key.second, AttemptResult::served);
       }
-      run();
-      settle();
+      run_until_idle();
+      collect_commands();
     }
     EXPECT_EQ(registry->remembered_count(), 0u);
     EXPECT_EQ(registry->groups()->requests(), 0u);
-    for (Ticket t = 1; t <= tickets; ++t)
-      ASSERT_EQ(ends[t] + static_cast<int>(gone.contains(t) && ends[t] == 0), 1)
+    for (Ticket t = 1; t <= last_ticket; ++t)
+      ASSERT_EQ(final_answers[t] + static_cast<int>(disconnected.contains(t) && final_answers[t] == 0), 1)
           << "seed " << seed << ", ticket " << t;
   }
 }
 
 TEST_F(GroupLimitsTest, SendsGossipAboutTheUseOfGroups) {
   start("{a: {}, b: {}}", Idempotency::idempotent, 2, true);
-  arrive(1, "a");
-  run();
+  add_request(1, "a");
+  run_until_idle();
   now += 300ms;
-  end(1, 0, AttemptResult::served);
-  wait(500ms);
-  const auto told = all<ForwardGossip>();
-  ASSERT_TRUE(std::ranges::any_of(told, [](const ForwardGossip& t) { return t.bytes.starts_with("g"); }));
-  for (const auto& one : told) EXPECT_LE(one.bytes.size(), 256u);
+  finish_attempt(1, 0, AttemptResult::served);
+  advance_time(500ms);
+  const auto gossip = commands_of<ForwardGossip>();
+  ASSERT_TRUE(std::ranges::any_of(
+      gossip, [](const ForwardGossip& message) { return message.bytes.starts_with("g"); }));
+  for (const auto& message : gossip) EXPECT_LE(message.bytes.size(), 256u);
 }
 
 // All engines of a group's class are in slow start and get few of its queries. Its queue is first in line,
 // and must not keep the other group's queries from their engines: that group gets as much as if it were
 // alone, and the engines in slow start are used too.
 TEST(GroupInSlowStart, DoesNotDelayOtherGroups) {
-  const auto sends = [](bool with_slow_start) {
+  const auto count_dispatches = [](bool with_slow_start) {
     Settings s;
     s.classes = {{.name = "lookup", .latency_objective = 500ms, .timeout = 2s},
                  {.name = "special", .latency_objective = 1s, .timeout = 4s}};
@@ -217,25 +221,25 @@
     registry.endpoints_updated(
         {UpdateKind::snapshot,
          {{.engine = 1, .machine_type = 0}, {.engine = 2, .machine_type = 1, .last_started = now}}});
-    std::array<unsigned, 2> sent{};
-    std::map<Ticket, ClassIndex> held;
-    std::multimap<Time, std::pair<Ticket, AttemptIndex>> ends;
-    Ticket tickets = 0;
+    std::array<unsigned, 2> dispatched{};
+    std::map<Ticket, ClassIndex> waiting;
+    std::multimap<Time, std::pair<Ticket, AttemptIndex>> attempt_ends;
+    Ticket last_ticket = 0;
     for (std::vector<Command> commands; now < 9s; now += 2ms) {
-      while (!ends.empty() && ends.begin()->first <= now) {
-        const auto [ticket, attempt] = ends.begin()->second;
-        ends.erase(ends.begin());
+      while (!attempt_ends.empty() && attempt_ends.begin()->first <= now) {
+        const auto [ticket, attempt] = attempt_ends.begin()->second;
+        attempt_ends.erase(attempt_ends.begin());
         registry.attempt_finished(
             now, {.ticket = ticket, .attempt = attempt, .result = AttemptResult::served, .at = now});
       }
       for (ClassIndex c = 0; c < (with_slow_start ? 2 : 1); ++c)
-        while (std::ranges::count(held | std::views::values, c) < 10) {
+        while (std::ranges::count(waiting | std::views::values, c) < 10) {
           RequestSpec spec;
-          spec.ticket = ++tickets;
+          spec.ticket = ++last_ticket;
           spec.request.class_index = c;
           spec.request.time_left = s.classes[c].timeout;
           spec.group = c == 0 ? "b" : "a";
-          held[spec.ticket] = c;
+          waiting[spec.ticket] = c;
           registry.add_request(now, spec);
         }
       commands.clear();
@@ -243,16 +247,16 @@
       while (registry.next_due() <= Time::zero());
       for (const auto& command : commands) {
         if (const auto* start = std::get_if<DispatchAttempt>(&command)) {
-          ++sent[start->engine - 1];
-          held.erase(start->ticket);
-          ends.emplace(now + 30ms, std::pair(start->ticket, start->attempt));
+          ++dispatched[start->engine - 1];
+          waiting.erase(start->ticket);
+          attempt_ends.emplace(now + 30ms, std::pair(start->ticket, start->attempt));
         }
-        if (const auto* answer = std::get_if<FinishRequest>(&command)) held.erase(answer->ticket);
+        if (const auto* answer = std::get_if<FinishRequest>(&command)) waiting.erase(answer->ticket);
       }
     }
-    return sent;
+    return dispatched;
   };
-  const auto alone = sends(false), both = sends(true);
+  const auto alone = count_dispatches(false), both = count_dispatches(true);
   EXPECT_GT(alone[0], 1000u);
   EXPECT_GT(both[0], 0.9 * alone[0]);
   EXPECT_GT(both[1], 5u);
--- a/tests/router/load_deaths_test.cpp
+++ b/tests/router/load_deaths_test.cpp
@@ -1,9 +1,9 @@
 // Loads by GraphQL through the real decision engine and request registry, on virtual time and without
 // sockets.
 //
-// An engine dies at a random time around each load: before the connection is up, while it is being opened,
+// An engine fails at a random time around each load: before the connection is up, while it is being opened,
 // with the statement on its way, while it runs, after its effect, with the response on its way. A load is not
-// idempotent: if it were retried after a death that came after its effect, its rows would be there twice; if
+// idempotent: if it were retried after a death that came after its effect, its rows would be there repeated_loads; if
 // its client were told that a retry does no harm, the client would do the same. What ran is counted where it
 // ran, in this test's engine.
 #include <gtest/gtest.h>
@@ -21,12 +21,12 @@
 
 using namespace std::chrono_literals;
 
-Settings settings(Idempotency effect) {
+Settings settings(Idempotency idempotency) {
   Settings s;
   s.classes = {{.name = "load",
                 .latency_objective = 500ms,
                 .timeout = 4s,
-                .idempotency = effect,
+                .idempotency = idempotency,
                 .deduplication_window = 60s}};
   s.machine_types = {{.name = "small", .cores = 4}};
   s.max_attempts = 3;
@@ -35,7 +35,7 @@
   return s;
 }
 
-struct Sent {
+struct SentAttempt {
   std::string load;
   AttemptResult result = AttemptResult::served;
   bool written = false, took_effect = false;
@@ -44,8 +44,8 @@
 class LoadRun {
  public:
   LoadRun(const graphql::Bound& bound, const graphql::Document& document, std::uint64_t seed,
-          Idempotency effect)
-      : random_(seed), settings_(settings(effect)), registry_(settings_, seed) {
+          Idempotency idempotency)
+      : random_(seed), settings_(settings(idempotency)), registry_(settings_, seed) {
     EndpointUpdate list;
     for (EngineId id = 1; id <= 3; ++id) list.endpoints.push_back({.engine = id});
     registry_.endpoints_updated(list);
@@ -54,7 +54,7 @@
     execution_.emplace(bound, document, document.definitions[0], std::move(asked), graphql::Bounds{});
     std::vector<graphql::Call> calls;
     execution_->start(now_, calls);
-    take(calls);
+    submit(calls);
     std::vector<Command> commands;
     while (!execution_->done() && now_ < 110s) {
       commands.clear();
@@ -62,11 +62,11 @@
       for (const auto& command : commands) execute(command);
       if (execution_->done()) break;
       auto due = registry_.next_due();
-      if (!ends_.empty()) due = std::min(due, ends_.begin()->first);
+      if (!attempt_ends_.empty()) due = std::min(due, attempt_ends_.begin()->first);
       now_ = std::max(now_, due);
-      while (!ends_.empty() && ends_.begin()->first <= now_) {
-        const auto end = ends_.begin()->second;
-        ends_.erase(ends_.begin());
+      while (!attempt_ends_.empty() && attempt_ends_.begin()->first <= now_) {
+        const auto end = attempt_ends_.begin()->second;
+        attempt_ends_.erase(attempt_ends_.begin());
         registry_.attempt_finished(now_, end);
       }
     }
@@ -74,11 +74,11 @@
   }
 
   std::string response;
-  std::vector<Sent> sent;
-  unsigned deaths = 0;
+  std::vector<SentAttempt> sent_attempts;
+  unsigned engine_failures = 0;
 
  private:
-  void take(std::vector<graphql::Call>& calls) {
+  void submit(std::vector<graphql::Call>& calls) {
     for (auto& call : calls) {
       RequestSpec spec;
       spec.ticket = call.id + 1;
@@ -88,47 +88,49 @@
     }
     calls.clear();
   }
-  void ended(Ticket ticket, graphql::Reply reply) {
+  void finish_statement(Ticket ticket, graphql::Reply reply) {
     std::vector<graphql::Call> calls;
     execution_->ended(now_, ticket - 1, std::move(reply), calls);
-    take(calls);
+    submit(calls);
   }
   void execute(const Command& command) {
-    if (const auto* start = std::get_if<DispatchAttempt>(&command)) return attempt(*start);
+    if (const auto* start = std::get_if<DispatchAttempt>(&command)) return send_attempt(*start);
     if (const auto* deliver = std::get_if<DeliverResponse>(&command)) {
       auto table = std::make_shared<sql::Table>();
       table->command = "INSERT 0 1";
-      return ended(deliver->ticket, {table, {}});
+      return finish_statement(deliver->ticket, {table, {}});
     }
     if (const auto* answer = std::get_if<FinishRequest>(&command))
-      ended(answer->ticket,
-            {nullptr, path::graphql_error_of(problem_of(*answer), settings_.classes[0], false)});
+      finish_statement(answer->ticket,
+                       {nullptr, path::graphql_error_of(problem_of(*answer), settings_.classes[0], false)});
   }
-  void attempt(const DispatchAttempt& start) {
-    auto& one = sent.emplace_back();
-    one.load = loads_.at(start.ticket);
-    const auto between = [this](double from, double to) {
+  void send_attempt(const DispatchAttempt& start) {
+    auto& attempt = sent_attempts.emplace_back();
+    attempt.load = loads_.at(start.ticket);
+    const auto random_time = [this](double from, double to) {
       return Time(static_cast<std::int64_t>(1e6 * std::uniform_real_distribution<double>(from, to)(random_)));
     };
-    const Time connected = between(0.2, 1), written = connected + between(0, 0.1),
-               read = written + between(0.1, 0.5);
-    const Time effect = read + between(1, 40), answered = effect + between(0.1, 1);
+    const Time connected = random_time(0.2, 1), written = connected + random_time(0, 0.1),
+               received = written + random_time(0.1, 0.5);
+    const Time took_effect_at = received + random_time(1, 40),
+               answered = took_effect_at + random_time(0.1, 1);
     Time at = answered;
-    // The first attempt always meets a death, from a little before it to a little after.
-    const bool dies = sent.size() == 1 || random_() % 2 == 0;
-    const Time death = between(-1, milliseconds(answered) + 1);
-    if (dies) {
-      ++deaths;
-      one.result = death < connected  ? AttemptResult::not_connected
-                   : death < answered ? AttemptResult::reset
-                                      : AttemptResult::served;
-      at = one.result == AttemptResult::served ? answered : std::max<Time>(death, 100us);
+    // The first attempt always meets a failed_at, from a little before it to a little after.
+    const bool fails = sent_attempts.size() == 1 || random_() % 2 == 0;
+    const Time failed_at = random_time(-1, milliseconds(answered) + 1);
+    if (fails) {
+      ++engine_failures;
+      attempt.result = failed_at < connected  ? AttemptResult::not_connected
+                       : failed_at < answered ? AttemptResult::reset
+                                              : AttemptResult::served;
+      at = attempt.result == AttemptResult::served ? answered : std::max<Time>(failed_at, 100us);
     }
-    one.written = !dies || death >= connected;
-    one.took_effect = !dies || death >= effect;
-    ends_.emplace(
+    attempt.written = !fails || failed_at >= connected;
+    attempt.took_effect = !fails || failed_at >= took_effect_at;
+    attempt_ends_.emplace(
         now_ + at,
-        AttemptEnd{.ticket = start.ticket, .attempt = start.attempt, .result = one.result, .at = now_ + at});
+        AttemptEnd{
+            .ticket = start.ticket, .attempt = start.attempt, .result = attempt.result, .at = now_ + at});
   }
 
   pcg64 random_;
@@ -137,7 +139,7 @@
   Time now_ = 100s;
   std::optional<graphql::Execution> execution_;
   std::map<Ticket, std::string> loads_;
-  std::multimap<Time, AttemptEnd> ends_;
+  std::multimap<Time, AttemptEnd> attempt_ends_;
 };
 
 TEST(LoadDeathsTest, NoLoadRunsTwiceAndEveryResponseIsTrue) {
@@ -147,19 +149,20 @@
       {{"load", false, false, 500ms}, {"q", true, false, 500ms}});
   const auto document = graphql::parse("mutation{a:load(id:1) b:load(id:2)}");
   ASSERT_TRUE(graphql::validate(bound.schema(), document).empty());
-  unsigned deaths = 0, unknown = 0, never_connected = 0, lost_effect = 0, kept_effect = 0, not_started = 0;
+  unsigned engine_failures = 0, unknown = 0, never_connected = 0, unknown_without_effect = 0,
+           unknown_with_effect = 0, not_started = 0;
   for (std::uint64_t seed = 1; seed <= 2'500; ++seed) {
     const LoadRun run(bound, document, seed, Idempotency::not_idempotent);
-    deaths += run.deaths;
+    engine_failures += run.engine_failures;
     ASSERT_FALSE(run.response.empty()) << "seed " << seed << ": no final response";
     std::map<std::string, unsigned> written, effects;
-    for (const auto& one : run.sent) {
+    for (const auto& one : run.sent_attempts) {
       written[one.load] += one.written ? 1 : 0;
       effects[one.load] += one.took_effect ? 1 : 0;
       never_connected += one.result == AttemptResult::not_connected ? 1 : 0;
     }
-    for (const auto& [load, times] : written) ASSERT_LE(times, 1U) << "seed " << seed << ": load " << load;
-    for (const auto& [load, times] : effects) ASSERT_LE(times, 1U) << "seed " << seed << ": load " << load;
+    for (const auto& [load, count] : written) ASSERT_LE(count, 1U) << "seed " << seed << ": load " << load;
+    for (const auto& [load, count] : effects) ASSERT_LE(count, 1U) << "seed " << seed << ": load " << load;
     const bool reported_unknown = run.response.find("OUTCOME_UNKNOWN") != std::string::npos;
     const bool a_served = run.response.find(R"("a":1)") != std::string::npos;
     const bool a_unknown =
@@ -172,7 +175,7 @@
       ASSERT_EQ(written["2"], 0U) << "seed " << seed << ": the second load was started";
       ASSERT_NE(run.response.find("NOT_STARTED"), std::string::npos) << run.response;
       ++not_started;
-      ++(effects["1"] == 1 ? kept_effect : lost_effect);
+      ++(effects["1"] == 1 ? unknown_with_effect : unknown_without_effect);
     }
     if (!a_served && !a_unknown) {
       ASSERT_EQ(effects["1"], 0U) << "seed " << seed << ": reported as harmless to retry, but it ran\n"
@@ -180,18 +183,18 @@
     }
     unknown += reported_unknown ? 1 : 0;
   }
-  // The deaths must fall into all phases, else the counts prove little.
-  EXPECT_GE(deaths, 2'500U);
+  // The engine_failures must fall into all phases, else the counts prove little.
+  EXPECT_GE(engine_failures, 2'500U);
   EXPECT_GT(unknown, 500U);
-  EXPECT_GT(lost_effect, 300U);
-  EXPECT_GT(kept_effect, 10U);
+  EXPECT_GT(unknown_without_effect, 300U);
+  EXPECT_GT(unknown_with_effect, 10U);
   EXPECT_GT(never_connected, 50U);
-  RecordProperty("deaths", static_cast<int>(deaths));
+  RecordProperty("deaths", static_cast<int>(engine_failures));
   RecordProperty("not_started", static_cast<int>(not_started));
-  RecordProperty("unknown_and_took_effect", static_cast<int>(kept_effect));
+  RecordProperty("unknown_and_took_effect", static_cast<int>(unknown_with_effect));
 }
 
-// The counting above must be able to fail: an idempotent class is retried after a death, and its loads run
+// The counting above must be able to fail: an idempotent class is retried after a failed_at, and its loads run
 // twice.
 TEST(LoadDeathsTest, IdempotentLoadsDoRunTwiceUnderTheSameDeaths) {
   const graphql::Bound bound(
@@ -199,14 +202,14 @@
       "@sql(statement:\"load :id\" class:\"load\")}",
       {{"load", true, false, 500ms}});
   const auto document = graphql::parse("mutation{a:load(id:1) b:load(id:2)}");
-  unsigned twice = 0;
+  unsigned repeated_loads = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     const LoadRun run(bound, document, seed, Idempotency::idempotent);
     std::map<std::string, unsigned> written;
-    for (const auto& one : run.sent) written[one.load] += one.written ? 1 : 0;
-    for (const auto& [load, times] : written) twice += times > 1 ? 1 : 0;
+    for (const auto& one : run.sent_attempts) written[one.load] += one.written ? 1 : 0;
+    for (const auto& [load, count] : written) repeated_loads += count > 1 ? 1 : 0;
   }
-  EXPECT_GT(twice, 20U);
+  EXPECT_GT(repeated_loads, 20U);
 }
 
 }  // namespace
--- a/tests/router/query_parser_test.cpp
+++ b/tests/router/query_parser_test.cpp
@@ -10,23 +10,23 @@
 
 using namespace std::chrono_literals;
 
-Settings settings() {
-  Settings s;
-  s.classes = {{.name = "lookup", .latency_objective = 500ms, .timeout = 2s},
-               {.name = "report", .latency_objective = 3s, .timeout = 20s}};
-  s.tenants = {{.name = "blue"}, {.name = "red"}};
-  return s;
+Settings two_class_settings() {
+  Settings settings;
+  settings.classes = {{.name = "lookup", .latency_objective = 500ms, .timeout = 2s},
+                      {.name = "report", .latency_objective = 3s, .timeout = 20s}};
+  settings.tenants = {{.name = "blue"}, {.name = "red"}};
+  return settings;
 }
 
 std::string field_of(std::string_view body, std::optional<std::string_view> timeout = {}) {
-  const auto read = QueryParser(settings()).parse(body, timeout);
+  const auto read = QueryParser(two_class_settings()).parse(body, timeout);
   const auto* problem = std::get_if<Problem>(&read);
   return problem == nullptr ? "" : problem->field + ": " + problem->detail;
 }
 
 TEST(QueryParsing, ReadsEveryField) {
   const auto read =
-      QueryParser(settings())
+      QueryParser(two_class_settings())
           .parse(
               R"({"statement":"select 1","class":"report","tenant":"red","data_group":"floor 7","key":5,"estimates":{"work_ms":12.5,"memory_mb":3},"repeat":true})",
               "700");
@@ -73,20 +73,20 @@
 }
 
 TEST(Problems, SayWhetherARetryIsHarmless) {
-  FinishRequest answer;
-  answer.status = FinalStatus::rejected;
-  answer.retry_after = 1500ms;
+  FinishRequest finish;
+  finish.status = FinalStatus::rejected;
+  finish.retry_after = 1500ms;
   EXPECT_EQ(
-      problem_body(problem_of(answer)),
+      problem_body(problem_of(finish)),
       R"({"type":"about:blank","status":503,"outcome":"refused","retry_harmless":true,"retry_after_ms":1500,"detail":"not run; the engines are busy or out of reach"})");
   EXPECT_EQ(retry_after_seconds(1500ms), 2);
-  answer.status = FinalStatus::failed;
-  answer.last_result = AttemptResult::reset;
-  answer.provably_never_ran = false;
-  EXPECT_EQ(problem_of(answer).status, 502);
-  EXPECT_FALSE(problem_of(answer).retry_is_safe);
-  answer.last_result = AttemptResult::timed_out;
-  EXPECT_EQ(problem_of(answer).status, 504);
+  finish.status = FinalStatus::failed;
+  finish.last_result = AttemptResult::reset;
+  finish.provably_never_ran = false;
+  EXPECT_EQ(problem_of(finish).status, 502);
+  EXPECT_FALSE(problem_of(finish).retry_is_safe);
+  finish.last_result = AttemptResult::timed_out;
+  EXPECT_EQ(problem_of(finish).status, 504);
 }
 
 TEST(Problems, NameTheirOutcomeByTheWordOfTheInterface) {
--- a/tests/router/driven_registry.hpp
+++ b/tests/router/request_registry_fixture.hpp
@@ -12,39 +12,40 @@
 
 namespace heronwell::router {
 
-class DrivenRegistry : public testing::Test {
+class RequestRegistryFixture : public testing::Test {
  protected:
   static Settings one_class(Idempotency idempotency) {
     using namespace std::chrono_literals;
-    Settings s;
-    s.classes = {{.name = "lookup", .latency_objective = 500ms, .timeout = 2s, .idempotency = idempotency}};
-    s.machine_types = {{.name = "small", .cores = 4}};
-    s.max_attempts = 3;
-    s.cancellation_enabled = true;
-    s.drain_grace_period = 500ms;
-    return s;
+    Settings settings;
+    settings.classes = {
+        {.name = "lookup", .latency_objective = 500ms, .timeout = 2s, .idempotency = idempotency}};
+    settings.machine_types = {{.name = "small", .cores = 4}};
+    settings.max_attempts = 3;
+    settings.cancellation_enabled = true;
+    settings.drain_grace_period = 500ms;
+    return settings;
   }
-  void list(unsigned engines) {
+  void set_engine_count(unsigned engines) {
     EndpointUpdate update;
     for (EngineId id = 1; id <= engines; ++id) update.endpoints.push_back({.engine = id});
     registry->endpoints_updated(update);
   }
-  void arrive(Ticket ticket, Time time_left = std::chrono::seconds(2), const std::string& group = "") {
+  void add_request(Ticket ticket, Time time_left = std::chrono::seconds(2), const std::string& group = "") {
     RequestSpec spec;
     spec.ticket = ticket;
     spec.request.time_left = time_left;
     spec.group = group;
     registry->add_request(now, spec);
   }
-  void end(Ticket ticket, AttemptIndex attempt, AttemptResult result) {
+  void finish_attempt(Ticket ticket, AttemptIndex attempt, AttemptResult result) {
     registry->attempt_finished(now, {.ticket = ticket, .attempt = attempt, .result = result, .at = now});
   }
-  void run() {
+  void run_until_idle() {
     do registry->run(now, commands);
     while (registry->next_due() <= Time::zero());
   }
-  void wait(Time time) {  // as the daemon does: runs whenever it is due
-    const auto until = now + time;
+  void advance_time(Time duration) {  // as the daemon does: runs whenever it is due
+    const auto until = now + duration;
     while (true) {
       const auto due = registry->next_due();
       now = std::max(now, std::min(due, until));
@@ -52,11 +53,11 @@
       if (due > until) return;
     }
   }
-  template <class C>
-  std::vector<C> all() const {
-    std::vector<C> found;
+  template <class CommandType>
+  std::vector<CommandType> commands_of() const {
+    std::vector<CommandType> found;
     for (const auto& command : commands)
-      if (const auto* one = std::get_if<C>(&command)) found.push_back(*one);
+      if (const auto* matching = std::get_if<CommandType>(&command)) found.push_back(*matching);
     return found;
   }
 
--- a/tests/router/request_registry_test.cpp
+++ b/tests/router/request_registry_test.cpp
@@ -1,40 +1,41 @@
-#include "driven_registry.hpp"
+#include "request_registry_fixture.hpp"
 
 namespace heronwell::router {
 namespace {
 
 using namespace std::chrono_literals;
 
-class RequestRegistryTest : public DrivenRegistry {
+class RequestRegistryTest : public RequestRegistryFixture {
  protected:
-  void start(Idempotency idempotency = Idempotency::idempotent, unsigned engines = 2, RequestId first = 1) {
-    registry.emplace(one_class(idempotency), 1, first);
-    list(engines);
-    run();
+  void start(Idempotency idempotency = Idempotency::idempotent, unsigned engines = 2,
+             RequestId first_id = 1) {
+    registry.emplace(one_class(idempotency), 1, first_id);
+    set_engine_count(engines);
+    run_until_idle();
   }
   // Commands are those of the last call.
-  void run() {
+  void run_until_idle() {
     commands.clear();
-    DrivenRegistry::run();
+    RequestRegistryFixture::run_until_idle();
   }
-  void wait(Time time) {
+  void advance_time(Time duration) {
     commands.clear();
-    DrivenRegistry::wait(time);
+    RequestRegistryFixture::advance_time(duration);
   }
 };
 
 TEST_F(RequestRegistryTest, CarriesARequestFromArrivalToResponse) {
   start();
-  arrive(7);
-  run();
-  const auto starts = all<DispatchAttempt>();
-  ASSERT_EQ(starts.size(), 1U);
-  EXPECT_EQ(starts[0].ticket, 7U);
-  EXPECT_LT(starts[0].deadline, now + 2s);
+  add_request(7);
+  run_until_idle();
+  const auto dispatches = commands_of<DispatchAttempt>();
+  ASSERT_EQ(dispatches.size(), 1U);
+  EXPECT_EQ(dispatches[0].ticket, 7U);
+  EXPECT_LT(dispatches[0].deadline, now + 2s);
   now += 10ms;
-  end(7, 0, AttemptResult::served);
-  run();
-  ASSERT_EQ(all<DeliverResponse>().size(), 1U);
+  finish_attempt(7, 0, AttemptResult::served);
+  run_until_idle();
+  ASSERT_EQ(commands_of<DeliverResponse>().size(), 1U);
   EXPECT_EQ(registry->open_count(), 0U);
   EXPECT_EQ(registry->remembered_count(), 0U);
 }
@@ -45,19 +46,19 @@
 TEST_F(RequestRegistryTest, ShutdownAnswersEveryOpenRequestAndRejectsNoneThatMayHaveRun) {
   for (const auto idempotency : {Idempotency::idempotent, Idempotency::not_idempotent}) {
     start(idempotency, 1);
-    arrive(7);
-    run();
-    ASSERT_EQ(all<DispatchAttempt>().size(), 1U);
-    arrive(8);
+    add_request(7);
+    run_until_idle();
+    ASSERT_EQ(commands_of<DispatchAttempt>().size(), 1U);
+    add_request(8);
     registry->begin_shutdown();
-    run();
-    const auto answers = all<FinishRequest>();
+    run_until_idle();
+    const auto answers = commands_of<FinishRequest>();
     ASSERT_EQ(answers.size(), 2U);
     for (const auto& answer : answers)
       EXPECT_EQ(answer.status, answer.ticket == 7 && idempotency == Idempotency::not_idempotent
                                    ? FinalStatus::failed
                                    : FinalStatus::rejected);
-    EXPECT_EQ(all<StopAttempt>().size(), 1U);
+    EXPECT_EQ(commands_of<StopAttempt>().size(), 1U);
     EXPECT_EQ(registry->open_count(), 0U);
   }
 }
@@ -66,15 +67,15 @@
 // would end it with its own events, so the ids in use are passed over.
 TEST_F(RequestRegistryTest, IdsWrapWithoutReusingOneThatIsInUse) {
   start(Idempotency::idempotent, 2, 0xfffffffe);
-  arrive(1);  // 0xfffffffe
-  arrive(2);  // 0xffffffff
-  run();
+  add_request(1);  // 0xfffffffe
+  add_request(2);  // 0xffffffff
+  run_until_idle();
   for (Ticket ticket = 10; ticket < 20; ++ticket) {
-    arrive(ticket);
-    run();
-    end(ticket, 0, AttemptResult::served);
-    run();
-    EXPECT_EQ(all<DeliverResponse>().size(), 1U) << ticket;
+    add_request(ticket);
+    run_until_idle();
+    finish_attempt(ticket, 0, AttemptResult::served);
+    run_until_idle();
+    EXPECT_EQ(commands_of<DeliverResponse>().size(), 1U) << ticket;
   }
   EXPECT_EQ(registry->remembered_count(), 2U);
   RequestIdAllocator ids(0xffffffff);
@@ -86,38 +87,38 @@
 // it. It is there, so the client gets it.
 TEST_F(RequestRegistryTest, AResponseInTheStepOfItsTimeOutIsDelivered) {
   start();
-  arrive(1, 1s);
-  run();
-  now = all<DispatchAttempt>()[0].deadline;
-  end(1, 0, AttemptResult::served);
-  run();
-  EXPECT_EQ(all<DeliverResponse>().size(), 1U);
-  EXPECT_TRUE(all<FinishRequest>().empty());
+  add_request(1, 1s);
+  run_until_idle();
+  now = commands_of<DispatchAttempt>()[0].deadline;
+  finish_attempt(1, 0, AttemptResult::served);
+  run_until_idle();
+  EXPECT_EQ(commands_of<DeliverResponse>().size(), 1U);
+  EXPECT_TRUE(commands_of<FinishRequest>().empty());
 }
 
 // The process is suspended for three seconds with a request out whose deadline is in one. Back again it finds
 // the response first. The client has given up: it is answered as failed, since the engine did run the query.
 TEST_F(RequestRegistryTest, AResponseAfterTheDeadlineIsNotDelivered) {
   start(Idempotency::not_idempotent);
-  arrive(1, 1s);
-  run();
+  add_request(1, 1s);
+  run_until_idle();
   now += 3s;  // the process was suspended
-  end(1, 0, AttemptResult::served);
-  run();
-  EXPECT_TRUE(all<DeliverResponse>().empty());
-  ASSERT_EQ(all<FinishRequest>().size(), 1U);
-  EXPECT_EQ(all<FinishRequest>()[0].status, FinalStatus::failed);
-  EXPECT_FALSE(all<FinishRequest>()[0].provably_never_ran);
+  finish_attempt(1, 0, AttemptResult::served);
+  run_until_idle();
+  EXPECT_TRUE(commands_of<DeliverResponse>().empty());
+  ASSERT_EQ(commands_of<FinishRequest>().size(), 1U);
+  EXPECT_EQ(commands_of<FinishRequest>()[0].status, FinalStatus::failed);
+  EXPECT_FALSE(commands_of<FinishRequest>()[0].provably_never_ran);
 }
 
 TEST_F(RequestRegistryTest, EveryRequestIsAnsweredBeforeItsDeadline) {
   start();
-  for (Ticket ticket = 1; ticket <= 50; ++ticket) arrive(ticket, 1s);
+  for (Ticket ticket = 1; ticket <= 50; ++ticket) add_request(ticket, 1s);
   std::map<Ticket, unsigned> answers;
   const auto until = now + 1s;
   while (now < until) {
-    wait(5ms);
-    for (const auto& answer : all<FinishRequest>()) {
+    advance_time(5ms);
+    for (const auto& answer : commands_of<FinishRequest>()) {
       ++answers[answer.ticket];
       EXPECT_NE(answer.status, FinalStatus::deadline_exceeded);
       EXPECT_LT(now, until);
@@ -131,38 +132,38 @@
 // already. Nobody is there to get it, and nothing of the request may be left behind.
 TEST_F(RequestRegistryTest, ADisconnectCancelsTheAttempt) {
   start();
-  arrive(1);
-  run();
+  add_request(1);
+  run_until_idle();
   registry->client_disconnected(1);
-  run();
-  ASSERT_EQ(all<StopAttempt>().size(), 1U);
-  EXPECT_TRUE(all<FinishRequest>().empty());
-  end(1, 0, AttemptResult::served);  // crossed the cancel request
-  run();
-  EXPECT_TRUE(all<DeliverResponse>().empty());
+  run_until_idle();
+  ASSERT_EQ(commands_of<StopAttempt>().size(), 1U);
+  EXPECT_TRUE(commands_of<FinishRequest>().empty());
+  finish_attempt(1, 0, AttemptResult::served);  // crossed the cancel request
+  run_until_idle();
+  EXPECT_TRUE(commands_of<DeliverResponse>().empty());
   EXPECT_EQ(registry->remembered_count(), 0U);
 }
 
 TEST_F(RequestRegistryTest, ADisconnectBeforeTheResponseInTheSameStepDeliversNothing) {
   start();
-  arrive(1);
-  run();
+  add_request(1);
+  run_until_idle();
   registry->client_disconnected(1);
-  end(1, 0, AttemptResult::served);
-  run();
-  EXPECT_TRUE(all<DeliverResponse>().empty());
+  finish_attempt(1, 0, AttemptResult::served);
+  run_until_idle();
+  EXPECT_TRUE(commands_of<DeliverResponse>().empty());
   EXPECT_EQ(registry->counters().disconnected, 1U);
   EXPECT_EQ(registry->remembered_count(), 0U);
 }
 
 TEST_F(RequestRegistryTest, AResponseBeforeTheDisconnectInTheSameStepIsDelivered) {
   start();
-  arrive(1);
-  run();
-  end(1, 0, AttemptResult::served);
+  add_request(1);
+  run_until_idle();
+  finish_attempt(1, 0, AttemptResult::served);
   registry->client_disconnected(1);
-  run();
-  EXPECT_EQ(all<DeliverResponse>().size(), 1U);
+  run_until_idle();
+  EXPECT_EQ(commands_of<DeliverResponse>().size(), 1U);
   EXPECT_EQ(registry->counters().disconnected, 0U);
 }
 
@@ -170,17 +171,17 @@
 // request. The client reads on: it must get the rest, and no error in the middle of it.
 TEST_F(RequestRegistryTest, AStreamHasNoTimeOutAndNoSecondFinalAnswer) {
   start();
-  arrive(1, 1s);
-  run();
+  add_request(1, 1s);
+  run_until_idle();
   registry->response_overflowed(now, 1, 0);
-  run();
-  ASSERT_EQ(all<BeginStream>().size(), 1U);
-  wait(5s);  // the decision engine fails the request; the client reads on
-  EXPECT_TRUE(all<FinishRequest>().empty());
-  EXPECT_TRUE(all<StopAttempt>().empty());
-  end(1, 0, AttemptResult::served);
-  run();
-  EXPECT_EQ(all<DeliverResponse>().size(), 1U);
+  run_until_idle();
+  ASSERT_EQ(commands_of<BeginStream>().size(), 1U);
+  advance_time(5s);  // the decision engine fails the request; the client reads on
+  EXPECT_TRUE(commands_of<FinishRequest>().empty());
+  EXPECT_TRUE(commands_of<StopAttempt>().empty());
+  finish_attempt(1, 0, AttemptResult::served);
+  run_until_idle();
+  EXPECT_EQ(commands_of<DeliverResponse>().size(), 1U);
   EXPECT_EQ(registry->remembered_count(), 0U);
 }
 
@@ -189,14 +190,14 @@
 // retry.
 TEST_F(RequestRegistryTest, AStreamWhoseEngineIsLostIsAborted) {
   start();
-  arrive(1);
-  run();
+  add_request(1);
+  run_until_idle();
   registry->response_overflowed(now, 1, 0);
-  run();
-  end(1, 0, AttemptResult::reset);
-  run();
-  EXPECT_EQ(all<AbortStream>().size(), 1U);
-  EXPECT_TRUE(all<DispatchAttempt>().empty()) << "no retry once a response has begun";
+  run_until_idle();
+  finish_attempt(1, 0, AttemptResult::reset);
+  run_until_idle();
+  EXPECT_EQ(commands_of<AbortStream>().size(), 1U);
+  EXPECT_TRUE(commands_of<DispatchAttempt>().empty()) << "no retry once a response has begun";
   EXPECT_EQ(registry->remembered_count(), 0U);
 }
 
@@ -204,23 +205,23 @@
 // nothing any more. The query must not run on for nobody.
 TEST_F(RequestRegistryTest, ADisconnectDuringAStreamCancelsItsAttempt) {
   start();
-  arrive(1, 1s);
-  run();
+  add_request(1, 1s);
+  run_until_idle();
   registry->response_overflowed(now, 1, 0);
-  wait(2s);
+  advance_time(2s);
   registry->client_disconnected(1);
-  run();
-  EXPECT_EQ(all<StopAttempt>().size(), 1U);
+  run_until_idle();
+  EXPECT_EQ(commands_of<StopAttempt>().size(), 1U);
 }
 
 TEST_F(RequestRegistryTest, AnOverflowAfterTheFinalAnswerBeginsNoStream) {
   start();
-  arrive(1, 500ms);
-  run();
-  wait(1s);
+  add_request(1, 500ms);
+  run_until_idle();
+  advance_time(1s);
   registry->response_overflowed(now, 1, 0);
-  run();
-  EXPECT_TRUE(all<BeginStream>().empty());
+  run_until_idle();
+  EXPECT_TRUE(commands_of<BeginStream>().empty());
 }
 
 // The connection breaks, the engine answers with an error, or the query is cancelled: its effect may have
@@ -228,40 +229,40 @@
 TEST_F(RequestRegistryTest, ANotIdempotentRequestThatMayHaveRunFailsWithoutARetry) {
   for (const auto result : {AttemptResult::reset, AttemptResult::error, AttemptResult::cancelled}) {
     start(Idempotency::not_idempotent);
-    arrive(1);
-    run();
-    end(1, 0, result);
-    run();
-    EXPECT_TRUE(all<DispatchAttempt>().empty());
-    ASSERT_EQ(all<FinishRequest>().size(), 1U);
-    EXPECT_EQ(all<FinishRequest>()[0].status, FinalStatus::failed);
-    EXPECT_FALSE(all<FinishRequest>()[0].provably_never_ran);
+    add_request(1);
+    run_until_idle();
+    finish_attempt(1, 0, result);
+    run_until_idle();
+    EXPECT_TRUE(commands_of<DispatchAttempt>().empty());
+    ASSERT_EQ(commands_of<FinishRequest>().size(), 1U);
+    EXPECT_EQ(commands_of<FinishRequest>()[0].status, FinalStatus::failed);
+    EXPECT_FALSE(commands_of<FinishRequest>()[0].provably_never_ran);
   }
 }
 
 TEST_F(RequestRegistryTest, ANotIdempotentRequestThatNeverStartedIsRetried) {
   start(Idempotency::not_idempotent);
-  arrive(1);
-  run();
-  end(1, 0, AttemptResult::never_started);
-  run();
-  ASSERT_EQ(all<DispatchAttempt>().size(), 1U);
-  EXPECT_EQ(all<DispatchAttempt>()[0].attempt, 1);
+  add_request(1);
+  run_until_idle();
+  finish_attempt(1, 0, AttemptResult::never_started);
+  run_until_idle();
+  ASSERT_EQ(commands_of<DispatchAttempt>().size(), 1U);
+  EXPECT_EQ(commands_of<DispatchAttempt>()[0].attempt, 1);
 }
 
 TEST_F(RequestRegistryTest, EventsOfUnknownOrEndedAttemptsAreIgnored) {
   start();
-  end(99, 0, AttemptResult::served);
+  finish_attempt(99, 0, AttemptResult::served);
   registry->client_disconnected(99);
   registry->response_overflowed(now, 99, 3);
   registry->attempt_progressed(99, 0, ProgressKind::progress, 0.5);
-  arrive(1);
-  run();
-  end(1, 5, AttemptResult::served);
-  end(1, 0, AttemptResult::served);
-  end(1, 0, AttemptResult::served);
-  run();
-  EXPECT_EQ(all<DeliverResponse>().size(), 1U);
+  add_request(1);
+  run_until_idle();
+  finish_attempt(1, 5, AttemptResult::served);
+  finish_attempt(1, 0, AttemptResult::served);
+  finish_attempt(1, 0, AttemptResult::served);
+  run_until_idle();
+  EXPECT_EQ(commands_of<DeliverResponse>().size(), 1U);
 }
 
 TEST(RequestStates, NothingFollowsTheFinalAnswer) {
