--- a/tests/router/config_test.cpp
+++ b/tests/router/config_test.cpp
@@ -27,14 +27,14 @@
   return "";
 }
 
-TEST(Config, IsReadWithUnitsAndDefaults) {
+TEST(Config, ReadsUnitsAndDefaults) {
   const auto config = read_config(yaml::Section::text(kBase, "f.yaml"));
   EXPECT_EQ(config.module.classes[0].timeout, Time(5s));
   EXPECT_EQ(config.listen.limits.body, 1U << 20);
   EXPECT_EQ(config.name, "gateway-0");
 }
 
-TEST(Config, ErrorsNamePlaceFieldAndWhatWasExpected) {
+TEST(Config, ErrorsNamePositionFieldAndExpectedValue) {
   EXPECT_EQ(error_of(kBase + "lisen: {}\n"),
             "f.yaml:6:8: lisen: unknown key; the nearest known one is \"listen\"");
   EXPECT_EQ(error_of(kBase + "rules: {drain_grace: 500}\n"),
@@ -59,7 +59,7 @@
             "f.yaml:5:25: classes.a.give_up: expected at least the aim");
 }
 
-TEST(Config, EffectiveSettingsReadToTheSame) {
+TEST(Config, EffectiveSettingsRoundTrip) {
   const std::string text =
       kBase + R"(  load: {aim: 2s, give_up: 20s, effect: unsafe, zones: [b], kinds: [small], threads: 2}
 zones: [a, b]
@@ -75,7 +75,7 @@
   EXPECT_NE(once.find("zones: [\"b\"]"), std::string::npos);
 }
 
-TEST(Units, MustBeGiven) {
+TEST(Units, ParsesOnlyValuesWithAUnit) {
   EXPECT_EQ(yaml::parse_duration("1.5s"), Time(1500ms));
   for (const auto* text : {"", "5", "s", "5 s", "-5s", "5sec", "nans", "1e300h", "infs"})
     EXPECT_FALSE(yaml::parse_duration(text)) << text;
@@ -85,29 +85,31 @@
   EXPECT_EQ(yaml::duration_text(2h), "2h");
 }
 
-// ---- other routers' messages --------------------------------------------------------------------------
+// ---- gossip datagrams ---------------------------------------------------------------------------------
 const std::string kKey = "0123456789abcdef0123456789abcdef";
 
-// Datagrams arrive out of order, twice, or much too late, and anyone on the network may repeat them. Each
-// message counts once, and one that is too old to be told from a repeated one does not count.
-TEST(Peers, AMessageIsAcceptedOnce) {
+// Datagrams may arrive out of order, twice or very late, and anyone on the network may replay them. Each
+// message must be accepted at most once, and a message that is too old to be distinguished from a replay is
+// rejected.
+TEST(Peers, AcceptsEachMessageOnlyOnce) {
   GossipDatagramCodec a(kKey, 0, 10), b(kKey + "\n", 1, 10);
   const auto first = a.seal("hello"), second = a.seal("again"), third = a.seal("more");
   EXPECT_EQ(b.open(first).payload, "hello");
   EXPECT_EQ(b.open(first).fault, DatagramFault::replayed);
   EXPECT_EQ(b.open(third).payload, "more");
-  EXPECT_EQ(b.open(second).payload, "again") << "out of order, but new";
+  EXPECT_EQ(b.open(second).payload, "again") << "expected to accept a new message that arrives out of order";
   EXPECT_EQ(b.open(second).fault, DatagramFault::replayed);
   EXPECT_EQ(a.open(first).fault, DatagramFault::own);
   for (int i = 0; i < 100; ++i) (void)a.seal("");
   EXPECT_EQ(b.open(a.seal("late")).fault, DatagramFault::none);
-  EXPECT_EQ(b.open(third).fault, DatagramFault::replayed) << "too old to be told from a replay";
+  EXPECT_EQ(b.open(third).fault, DatagramFault::replayed)
+      << "expected to reject a message too old to be distinguished from a replay";
 }
 
-// A router restarts, and messages of its earlier incarnation are still on the way, or are sent again by
-// somebody else: they tell of a state that is gone. Bytes changed on the way, and messages under another key,
-// are not its own.
-TEST(Peers, ForgeriesAndEarlierIncarnationsAreDropped) {
+// After a router restarts, messages of its earlier incarnation may still arrive or be replayed; they describe
+// outdated state and must be rejected. Modified messages and messages sealed with another key must be
+// rejected as forged.
+TEST(Peers, RejectsForgedMessagesAndThoseOfEarlierIncarnations) {
   GossipDatagramCodec before_restart(kKey, 0, 10), after_restart(kKey, 0, 11),
       other("another key, also of thirty-two by", 0, 12), b(kKey, 1, 1);
   const auto old = before_restart.seal("old");
--- a/tests/router/endpoint_registry_test.cpp
+++ b/tests/router/endpoint_registry_test.cpp
@@ -37,16 +37,17 @@
   EXPECT_EQ(endpoints.find(id)->not_ready_since, Time(3s));
   endpoints.apply({ready_engine("y")}, 4s);
   EXPECT_EQ(endpoints.find(id)->not_ready_since, Time(3s))
-      << "removed, but not ready since it began to drain";
+      << "expected the time at which the removed engine started to drain";
   EXPECT_EQ(endpoints.find(id)->entry.state, EndpointState::removed);
   endpoints.apply({ready_engine("x")}, 5s);
   EXPECT_FALSE(endpoints.find(id)->not_ready_since);
 }
 
-// The hashes of two names are the same, and one name is listed twice. With one id for two engines, load and
-// failures of one would be laid to the other: the later entry is left out, and the list is used without it.
-TEST(Fleet, RejectsEntriesThatCannotBeToldApart) {
-  // Two names whose numbers are the same, found by trying.
+// Two names have the same hash, and another name is listed twice. If two engines shared an id, the load and
+// the failures of one would be attributed to the other. The later entry is rejected and the rest of the list
+// is used.
+TEST(Fleet, RejectsEntriesWithADuplicateIdOrName) {
+  // Searches for two names with the same id.
   std::map<EngineId, std::string> names_by_id;
   std::string a, b;
   for (int i = 0; a.empty(); ++i) {
@@ -66,16 +67,16 @@
   EXPECT_EQ(endpoints.apply({unknown_zone}, 2s).rejected[0].text(), "w: zone \"moon\" is not configured");
 }
 
-TEST(Fleet, StartsAreConvertedToTheRoutersClock) {
+TEST(Fleet, ConvertsStartTimesToTheRoutersClock) {
   EndpointRegistry endpoints({"a"}, {"small"}, 1000s);
   auto started = ready_engine("x");
   started.started_ms = 1'005'000;
   EXPECT_EQ(endpoints.apply({started}, 10s).update.endpoints[0].last_started, Time(5s));
-  started.started_ms = 1;  // before the clock began
+  started.started_ms = 1;  // before the router's clock started
   EXPECT_EQ(endpoints.apply({started}, 10s).update.endpoints[0].last_started, Time(0));
 }
 
-TEST(Fleet, ReadsWhatConsulSays) {
+TEST(Fleet, ReadsConsulResponses) {
   auto draining = ready_engine("x"), removed = ready_engine("y");
   draining.state = EndpointState::draining;
   draining.cell = 3;
@@ -93,7 +94,7 @@
     EXPECT_THROW(read_consul(bad), std::invalid_argument) << bad;
 }
 
-TEST(Fleet, FilesNameTheirErrors) {
+TEST(Fleet, FileErrorsNamePositionAndField) {
   EXPECT_EQ(read_yaml("engines:\n  - {name: a, port: 5, state: draining}\n", "l.yaml")[0].state,
             EndpointState::draining);
   try {
--- a/tests/router/groups_test.cpp
+++ b/tests/router/groups_test.cpp
@@ -1,5 +1,5 @@
-// The request registry with resource groups: what a group does not admit or ends, and that the registry's
-// accounts and the groups' agree whatever happens.
+// Tests the request registry with resource groups: the limits of groups, and the consistency between the
+// accounts of the registry and those of the groups.
 #include <map>
 #include <random>
 #include <ranges>
@@ -38,7 +38,7 @@
   bool cancellation_enabled = true;
 };
 
-TEST_F(GroupLimitsTest, RejectsAtOnceWhatAGroupDoesNotAdmit) {
+TEST_F(GroupLimitsTest, RejectsRequestsThatTheGroupDoesNotAdmit) {
   start("{a: {max_queued: 1, max_threads: 1}}");
   add_request(1, "a");
   run_until_idle();
@@ -58,14 +58,14 @@
   EXPECT_EQ(registry->open_count(), 2u);
 }
 
-// A query runs longer than its group allows and is ended by the registry, which the decision engine does not
-// hear of beforehand. "Rejected" invites a retry, so a query that is not idempotent and may have run must be
-// answered as failed.
-TEST_F(GroupLimitsTest, ARunTimeLimitRejectsOnlyRequestsThatAreIdempotent) {
+// The registry ends a query that exceeds the run time limit of its group, without a command of the decision
+// engine. Clients retry requests that are reported as rejected, so a non-idempotent query that may have run
+// must be reported as failed.
+TEST_F(GroupLimitsTest, RunTimeLimitRejectsOnlyIdempotentRequests) {
   for (const auto idempotency : {Idempotency::idempotent, Idempotency::not_idempotent}) {
     commands.clear();
-    cancellation_enabled =
-        idempotency == Idempotency::idempotent;  // where the engine may cancel nothing, the registry stops it
+    // If the decision engine must not cancel attempts, the registry still stops the query.
+    cancellation_enabled = idempotency == Idempotency::idempotent;
     start("{a: {query_time: 300ms}}", idempotency);
     add_request(1, "a");
     run_until_idle();
@@ -76,7 +76,7 @@
     EXPECT_EQ(answers[0].status,
               idempotency == Idempotency::idempotent ? FinalStatus::rejected : FinalStatus::failed);
     EXPECT_EQ(answers[0].limit, groups::Limit::run);
-    EXPECT_EQ(commands_of<StopAttempt>().size(), 1u) << "its attempt is cancelled, once";
+    EXPECT_EQ(commands_of<StopAttempt>().size(), 1u) << "expected the attempt to be cancelled exactly once";
     finish_attempt(1, 0, AttemptResult::cancelled);
     run_until_idle();
     EXPECT_EQ(registry->groups()->requests(), 0u);
@@ -85,7 +85,7 @@
   }
 }
 
-TEST_F(GroupLimitsTest, AnAttemptThatNeverRanCostsItsGroupNothing) {
+TEST_F(GroupLimitsTest, DoesNotChargeTheGroupForAnAttemptThatNeverRan) {
   start("{a: {}, b: {}}");
   add_request(1, "a");
   run_until_idle();
@@ -93,7 +93,7 @@
   now += 400ms;
   finish_attempt(1, 0, AttemptResult::not_connected);
   run_until_idle();
-  ASSERT_EQ(commands_of<DispatchAttempt>().size(), 2u) << "retried";
+  ASSERT_EQ(commands_of<DispatchAttempt>().size(), 2u) << "expected a retry";
   now += 100ms;
   finish_attempt(1, 1, AttemptResult::served);
   run_until_idle();
@@ -103,8 +103,9 @@
     }
 }
 
-// Arrivals, ends of all kinds, disconnects, reloads and a suspended process in random order. Each request
-// gets one final answer, nothing is left behind, and all sums agree after each step.
+// Random sequence of arrivals, attempt results of all kinds, disconnects, reloads and suspensions of the
+// process. Each request must get exactly one final answer, no state may be left behind, and the sums must
+// agree after each step.
 TEST_F(GroupLimitsTest, AccountsStayConsistentUnderRandomEvents) {
   const std::array<std::string, 2> plans{
       "{a: {weight: 3, groups: {x: {}, y: {longest_wait: 150ms}}}, b: {max_threads: 2, query_time: 700ms}}",
@@ -124,13 +125,14 @@
     const auto collect_commands = [&] {
       for (; processed_commands < commands.size(); ++processed_commands) {
         const auto& command = commands[processed_commands];
-        if (const auto* s = std::get_if<DispatchAttempt>(&command))
-          in_flight[{s->ticket, s->attempt}] = false;
-        if (const auto* s = std::get_if<StopAttempt>(&command)) {
-          if (in_flight.contains({s->ticket, s->attempt})) in_flight[{s->ticket, s->attempt}] = true;
+        if (const auto* attempt = std::get_if<DispatchAttempt>(&command))
+          in_flight[{attempt->ticket, attempt->attempt}] = false;
+        if (const auto* attempt = std::get_if<StopAttempt>(&command)) {
+          if (in_flight.contains({attempt->ticket, attempt->attempt}))
+            in_flight[{attempt->ticket, attempt->attempt}] = true;
         }
-        if (const auto* d = std::get_if<DeliverResponse>(&command)) ++final_answers[d->ticket];
-        if (const auto* a = std::get_if<FinishRequest>(&command)) ++final_answers[a->ticket];
+        if (const auto* response = std::get_if<DeliverResponse>(&command)) ++final_answers[response->ticket];
+        if (const auto* finish = std::get_if<FinishRequest>(&command)) ++final_answers[finish->ticket];
       }
     };
     for (int i = 0; i < 1500; ++i) {
@@ -181,7 +183,7 @@
   }
 }
 
-TEST_F(GroupLimitsTest, SendsGossipAboutTheUseOfGroups) {
+TEST_F(GroupLimitsTest, SendsGroupUsageByGossip) {
   start("{a: {}, b: {}}", Idempotency::idempotent, 2, true);
   add_request(1, "a");
   run_until_idle();
@@ -194,9 +196,9 @@
   for (const auto& message : gossip) EXPECT_LE(message.bytes.size(), 256u);
 }
 
-// All engines of a group's class are in slow start and get few of its queries. Its queue is first in line,
-// and must not keep the other group's queries from their engines: that group gets as much as if it were
-// alone, and the engines in slow start are used too.
+// All engines of one group's class are in slow start, so few of its queries are dispatched. Its queue has the
+// highest priority but must not block the other group: that group must get almost the throughput that it gets
+// alone, and the engines in slow start must be used too.
 TEST(GroupInSlowStart, DoesNotDelayOtherGroups) {
   const auto count_dispatches = [](bool with_slow_start) {
     Settings s;
--- a/tests/router/load_deaths_test.cpp
+++ b/tests/router/load_deaths_test.cpp
@@ -1,11 +1,10 @@
-// Loads by GraphQL through the real decision engine and request registry, on virtual time and without
-// sockets.
+// Tests GraphQL load mutations with the real decision engine and request registry, on virtual time and
+// without sockets.
 //
-// An engine fails at a random time around each load: before the connection is up, while it is being opened,
-// with the statement on its way, while it runs, after its effect, with the response on its way. A load is not
-// idempotent: if it were retried after a death that came after its effect, its rows would be there repeated_loads; if
-// its client were told that a retry does no harm, the client would do the same. What ran is counted where it
-// ran, in this test's engine.
+// In each run an engine fails at a random time around each load: before or while the connection is opened,
+// while the statement is being sent, while it runs, after its effect, or while the response is being sent. A
+// load is not idempotent: a retry after its effect would insert its rows twice, and so would a client that is
+// told that a retry is safe. The simulated engine of this test counts the effects.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -21,18 +20,18 @@
 
 using namespace std::chrono_literals;
 
-Settings settings(Idempotency idempotency) {
-  Settings s;
-  s.classes = {{.name = "load",
-                .latency_objective = 500ms,
-                .timeout = 4s,
-                .idempotency = idempotency,
-                .deduplication_window = 60s}};
-  s.machine_types = {{.name = "small", .cores = 4}};
-  s.max_attempts = 3;
-  s.cancellation_enabled = true;
-  s.drain_grace_period = 500ms;
-  return s;
+Settings load_settings(Idempotency idempotency) {
+  Settings settings;
+  settings.classes = {{.name = "load",
+                       .latency_objective = 500ms,
+                       .timeout = 4s,
+                       .idempotency = idempotency,
+                       .deduplication_window = 60s}};
+  settings.machine_types = {{.name = "small", .cores = 4}};
+  settings.max_attempts = 3;
+  settings.cancellation_enabled = true;
+  settings.drain_grace_period = 500ms;
+  return settings;
 }
 
 struct SentAttempt {
@@ -45,7 +44,7 @@
  public:
   LoadRun(const graphql::Bound& bound, const graphql::Document& document, std::uint64_t seed,
           Idempotency idempotency)
-      : random_(seed), settings_(settings(idempotency)), registry_(settings_, seed) {
+      : random_(seed), settings_(load_settings(idempotency)), registry_(settings_, seed) {
     EndpointUpdate list;
     for (EngineId id = 1; id <= 3; ++id) list.endpoints.push_back({.engine = id});
     registry_.endpoints_updated(list);
@@ -115,7 +114,7 @@
     const Time took_effect_at = received + random_time(1, 40),
                answered = took_effect_at + random_time(0.1, 1);
     Time at = answered;
-    // The first attempt always meets a failed_at, from a little before it to a little after.
+    // The first attempt always meets an engine failure, at a time from 1 ms before it to 1 ms after it.
     const bool fails = sent_attempts.size() == 1 || random_() % 2 == 0;
     const Time failed_at = random_time(-1, milliseconds(answered) + 1);
     if (fails) {
@@ -142,7 +141,7 @@
   std::multimap<Time, AttemptEnd> attempt_ends_;
 };
 
-TEST(LoadDeathsTest, NoLoadRunsTwiceAndEveryResponseIsTrue) {
+TEST(LoadDeathsTest, NonIdempotentLoadRunsAtMostOnceAndResponseMatchesItsEffect) {
   const graphql::Bound bound(
       "type Query{a:Int @sql(statement:\"a\" class:\"q\")} type Mutation{load(id:ID!):Int "
       "@sql(statement:\"load :id\" class:\"load\")}",
@@ -154,12 +153,12 @@
   for (std::uint64_t seed = 1; seed <= 2'500; ++seed) {
     const LoadRun run(bound, document, seed, Idempotency::not_idempotent);
     engine_failures += run.engine_failures;
-    ASSERT_FALSE(run.response.empty()) << "seed " << seed << ": no final response";
+    ASSERT_FALSE(run.response.empty()) << "seed " << seed << ": expected a final response";
     std::map<std::string, unsigned> written, effects;
-    for (const auto& one : run.sent_attempts) {
-      written[one.load] += one.written ? 1 : 0;
-      effects[one.load] += one.took_effect ? 1 : 0;
-      never_connected += one.result == AttemptResult::not_connected ? 1 : 0;
+    for (const auto& attempt : run.sent_attempts) {
+      written[attempt.load] += attempt.written ? 1 : 0;
+      effects[attempt.load] += attempt.took_effect ? 1 : 0;
+      never_connected += attempt.result == AttemptResult::not_connected ? 1 : 0;
     }
     for (const auto& [load, count] : written) ASSERT_LE(count, 1U) << "seed " << seed << ": load " << load;
     for (const auto& [load, count] : effects) ASSERT_LE(count, 1U) << "seed " << seed << ": load " << load;
@@ -172,18 +171,19 @@
       ASSERT_EQ(effects["1"], 1U) << "seed " << seed;
     }
     if (a_unknown) {
-      ASSERT_EQ(written["2"], 0U) << "seed " << seed << ": the second load was started";
+      ASSERT_EQ(written["2"], 0U) << "seed " << seed << ": expected the second load not to be started";
       ASSERT_NE(run.response.find("NOT_STARTED"), std::string::npos) << run.response;
       ++not_started;
       ++(effects["1"] == 1 ? unknown_with_effect : unknown_without_effect);
     }
     if (!a_served && !a_unknown) {
-      ASSERT_EQ(effects["1"], 0U) << "seed " << seed << ": reported as harmless to retry, but it ran\n"
+      ASSERT_EQ(effects["1"], 0U) << "seed " << seed
+                                  << ": expected no effect of a load that is reported as safe to retry\n"
                                   << run.response;
     }
     unknown += reported_unknown ? 1 : 0;
   }
-  // The engine_failures must fall into all phases, else the counts prove little.
+  // The failures must cover all phases of an attempt for the checks above to be meaningful.
   EXPECT_GE(engine_failures, 2'500U);
   EXPECT_GT(unknown, 500U);
   EXPECT_GT(unknown_without_effect, 300U);
@@ -194,9 +194,9 @@
   RecordProperty("unknown_and_took_effect", static_cast<int>(unknown_with_effect));
 }
 
-// The counting above must be able to fail: an idempotent class is retried after a failed_at, and its loads run
-// twice.
-TEST(LoadDeathsTest, IdempotentLoadsDoRunTwiceUnderTheSameDeaths) {
+// Verifies that the check above can fail: loads of an idempotent class are retried after an engine failure
+// and run twice.
+TEST(LoadDeathsTest, IdempotentLoadsRunTwiceUnderTheSameFailures) {
   const graphql::Bound bound(
       "type Query{a:Int @sql(statement:\"a\" class:\"load\")} type Mutation{load(id:ID!):Int "
       "@sql(statement:\"load :id\" class:\"load\")}",
@@ -206,7 +206,7 @@
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     const LoadRun run(bound, document, seed, Idempotency::idempotent);
     std::map<std::string, unsigned> written;
-    for (const auto& one : run.sent_attempts) written[one.load] += one.written ? 1 : 0;
+    for (const auto& attempt : run.sent_attempts) written[attempt.load] += attempt.written ? 1 : 0;
     for (const auto& [load, count] : written) repeated_loads += count > 1 ? 1 : 0;
   }
   EXPECT_GT(repeated_loads, 20U);
--- a/tests/router/query_parser_test.cpp
+++ b/tests/router/query_parser_test.cpp
@@ -43,7 +43,7 @@
   EXPECT_TRUE(request.client_retry);
 }
 
-TEST(QueryParsing, NamesTheFieldThatIsWrong) {
+TEST(QueryParsing, ErrorsNameTheInvalidField) {
   EXPECT_EQ(field_of("{"), ": JSON, at byte 1: Missing a name for object member.");
   EXPECT_EQ(field_of("[]"), ": expected a JSON object");
   EXPECT_EQ(field_of(R"({"class":"lookup"})"), "statement: missing");
@@ -69,10 +69,10 @@
             field_of(R"({"statement":"s","class":"lookup"})", "-5"));
   EXPECT_EQ(field_of(R"({"statement":"s","class":"lookup"})", "99999"), "");
   EXPECT_NE(field_of("{\"statement\":\"\xff\",\"class\":\"lookup\"}"), "");
-  EXPECT_NE(field_of(std::string(100'000, '[')), "") << "deep nesting is an error, not a crash";
+  EXPECT_NE(field_of(std::string(100'000, '[')), "") << "expected an error for deep nesting";
 }
 
-TEST(Problems, SayWhetherARetryIsHarmless) {
+TEST(Problems, BodyStatesWhetherARetryIsSafe) {
   FinishRequest finish;
   finish.status = FinalStatus::rejected;
   finish.retry_after = 1500ms;
@@ -89,7 +89,7 @@
   EXPECT_EQ(problem_of(finish).status, 504);
 }
 
-TEST(Problems, NameTheirOutcomeByTheWordOfTheInterface) {
+TEST(Problems, OutcomeTextsMatchTheInterface) {
   EXPECT_EQ(text_of(ProblemOutcome::bad_request), "rejected");
   EXPECT_EQ(text_of(ProblemOutcome::rejected), "refused");
   EXPECT_EQ(text_of(ProblemOutcome::failed), "failed");
@@ -111,7 +111,7 @@
   return out;
 }
 
-TEST(Rows, BecomeJsonByTheirTypes) {
+TEST(Rows, ConvertsValuesToJsonByColumnType) {
   EXPECT_EQ(
       rows({{"a", 20}, {"b", 16}, {"c", 25}, {"d", 701}},
            {{"9007199254740993", "t", "x\"\n\x01", "NaN"}, {std::nullopt, "f", "", "-1.5e3"}}),
@@ -120,7 +120,7 @@
             R"({"columns":["a"],"rows":[["01"],["+1"],[""],["1."]],"command":"SELECT"})");
 }
 
-TEST(Rows, ThatAreNoUtf8StayJson) {
+TEST(Rows, ReplacesInvalidUtf8InJsonText) {
   std::string out;
   put_json_text(out, "a\xff\xc3\xa4\xc0\x80\xed\xa0\x80\xf0\x9f\x98\x80\xe2\x82");
   EXPECT_EQ(out,
@@ -128,7 +128,7 @@
             "\x80\xef\xbf\xbd\xef\xbf\xbd\"");
 }
 
-TEST(Rows, OfSeveralResultsStandUnderMore) {
+TEST(Rows, PutsFurtherResultsUnderMore) {
   std::string out;
   JsonRows json;
   json.complete(out, "SET");
--- a/tests/router/request_registry_fixture.hpp
+++ b/tests/router/request_registry_fixture.hpp
@@ -1,4 +1,4 @@
-// A request registry driven by hand, on a time of its own, with one class of queries.
+// Fixture with a request registry that has one query class and a clock that the test advances.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -44,7 +44,8 @@
     do registry->run(now, commands);
     while (registry->next_due() <= Time::zero());
   }
-  void advance_time(Time duration) {  // as the daemon does: runs whenever it is due
+  // Advances the clock and runs the registry whenever it is due, as the daemon does.
+  void advance_time(Time duration) {
     const auto until = now + duration;
     while (true) {
       const auto due = registry->next_due();
@@ -62,7 +63,7 @@
   }
 
   std::optional<RequestRegistry> registry;
-  std::vector<Command> commands;  // so far
+  std::vector<Command> commands;  // all commands so far
   Time now = std::chrono::seconds(100);
 };
 
--- a/tests/router/request_registry_test.cpp
+++ b/tests/router/request_registry_test.cpp
@@ -13,7 +13,7 @@
     set_engine_count(engines);
     run_until_idle();
   }
-  // Commands are those of the last call.
+  // After this call `commands` holds only its own commands.
   void run_until_idle() {
     commands.clear();
     RequestRegistryFixture::run_until_idle();
@@ -24,7 +24,7 @@
   }
 };
 
-TEST_F(RequestRegistryTest, CarriesARequestFromArrivalToResponse) {
+TEST_F(RequestRegistryTest, DeliversTheResponseOfARequest) {
   start();
   add_request(7);
   run_until_idle();
@@ -40,9 +40,9 @@
   EXPECT_EQ(registry->remembered_count(), 0U);
 }
 
-// The process is told to end with one request at its only engine and another one queued. Clients must hear
-// before it is gone. "Rejected" invites a retry, so a request that is not idempotent and is at the engine
-// must be answered as failed.
+// The process shuts down with one request in flight at its only engine and another one queued. Both clients
+// must get an answer before the process ends. Clients retry rejected requests, so a non-idempotent request in
+// flight must be reported as failed.
 TEST_F(RequestRegistryTest, ShutdownAnswersEveryOpenRequestAndRejectsNoneThatMayHaveRun) {
   for (const auto idempotency : {Idempotency::idempotent, Idempotency::not_idempotent}) {
     start(idempotency, 1);
@@ -63,9 +63,9 @@
   }
 }
 
-// Two requests stay open while ids wrap past the end of 32 bits. A new request with the id of an open one
-// would end it with its own events, so the ids in use are passed over.
-TEST_F(RequestRegistryTest, IdsWrapWithoutReusingOneThatIsInUse) {
+// Two requests stay open while the 32-bit ids wrap around. If a new request got the id of an open one, its
+// events would end the open request, so ids in use must be skipped.
+TEST_F(RequestRegistryTest, IdWrapAroundSkipsIdsInUse) {
   start(Idempotency::idempotent, 2, 0xfffffffe);
   add_request(1);  // 0xfffffffe
   add_request(2);  // 0xffffffff
@@ -83,9 +83,9 @@
   EXPECT_EQ(ids.allocate(used), 2U);
 }
 
-// The response is handed in at the very time at which the attempt times out, before the step that would end
-// it. It is there, so the client gets it.
-TEST_F(RequestRegistryTest, AResponseInTheStepOfItsTimeOutIsDelivered) {
+// The response arrives at the exact time at which the attempt times out, before the step that would end the
+// attempt. The client must get the response.
+TEST_F(RequestRegistryTest, AResponseInTheStepOfItsTimeoutIsDelivered) {
   start();
   add_request(1, 1s);
   run_until_idle();
@@ -96,8 +96,9 @@
   EXPECT_TRUE(commands_of<FinishRequest>().empty());
 }
 
-// The process is suspended for three seconds with a request out whose deadline is in one. Back again it finds
-// the response first. The client has given up: it is answered as failed, since the engine did run the query.
+// The process is suspended for 3 s with a request in flight whose deadline is 1 s away. After it resumes, it
+// reads the response first. The deadline has passed and the engine did run the query, so the request must be
+// reported as failed.
 TEST_F(RequestRegistryTest, AResponseAfterTheDeadlineIsNotDelivered) {
   start(Idempotency::not_idempotent);
   add_request(1, 1s);
@@ -128,8 +129,8 @@
   EXPECT_TRUE(std::ranges::all_of(answers, [](const auto& one) { return one.second == 1; }));
 }
 
-// The client disconnects while its query runs; the query is cancelled, but its response was on the way
-// already. Nobody is there to get it, and nothing of the request may be left behind.
+// The client disconnects while its query runs. The query is cancelled, but its response is already on the
+// way. The response must not be delivered and no state of the request may be left behind.
 TEST_F(RequestRegistryTest, ADisconnectCancelsTheAttempt) {
   start();
   add_request(1);
@@ -138,7 +139,7 @@
   run_until_idle();
   ASSERT_EQ(commands_of<StopAttempt>().size(), 1U);
   EXPECT_TRUE(commands_of<FinishRequest>().empty());
-  finish_attempt(1, 0, AttemptResult::served);  // crossed the cancel request
+  finish_attempt(1, 0, AttemptResult::served);  // sent before the cancel request arrived
   run_until_idle();
   EXPECT_TRUE(commands_of<DeliverResponse>().empty());
   EXPECT_EQ(registry->remembered_count(), 0U);
@@ -167,16 +168,16 @@
   EXPECT_EQ(registry->counters().disconnected, 0U);
 }
 
-// A long response is being sent while the request's deadline passes, and the decision engine fails the
-// request. The client reads on: it must get the rest, and no error in the middle of it.
-TEST_F(RequestRegistryTest, AStreamHasNoTimeOutAndNoSecondFinalAnswer) {
+// The deadline passes while a long response is being streamed, and the decision engine fails the request. The
+// client is still reading and must get the rest of the response, without an error inside it.
+TEST_F(RequestRegistryTest, AStreamHasNoTimeoutAndNoSecondFinalAnswer) {
   start();
   add_request(1, 1s);
   run_until_idle();
   registry->response_overflowed(now, 1, 0);
   run_until_idle();
   ASSERT_EQ(commands_of<BeginStream>().size(), 1U);
-  advance_time(5s);  // the decision engine fails the request; the client reads on
+  advance_time(5s);  // the decision engine fails the request; the client keeps reading
   EXPECT_TRUE(commands_of<FinishRequest>().empty());
   EXPECT_TRUE(commands_of<StopAttempt>().empty());
   finish_attempt(1, 0, AttemptResult::served);
@@ -185,9 +186,9 @@
   EXPECT_EQ(registry->remembered_count(), 0U);
 }
 
-// The engine dies in the middle of a response that the client has read the beginning of. A retry would append
-// another response to it, and an orderly end would make it look complete: it has to be aborted, without a
-// retry.
+// The engine fails while a response is being streamed. A retry would append another response to the part that
+// the client has read, and a regular end would make that part look complete. The stream must be aborted
+// without a retry.
 TEST_F(RequestRegistryTest, AStreamWhoseEngineIsLostIsAborted) {
   start();
   add_request(1);
@@ -197,12 +198,12 @@
   finish_attempt(1, 0, AttemptResult::reset);
   run_until_idle();
   EXPECT_EQ(commands_of<AbortStream>().size(), 1U);
-  EXPECT_TRUE(commands_of<DispatchAttempt>().empty()) << "no retry once a response has begun";
+  EXPECT_TRUE(commands_of<DispatchAttempt>().empty()) << "expected no retry after the response has started";
   EXPECT_EQ(registry->remembered_count(), 0U);
 }
 
-// The decision engine closed the request at its deadline, a second before the client disconnects, and cancels
-// nothing any more. The query must not run on for nobody.
+// The decision engine closes the request at its deadline, 1 s before the client disconnects, and no longer
+// cancels its attempt. The registry must cancel it, or the query would keep running without a client.
 TEST_F(RequestRegistryTest, ADisconnectDuringAStreamCancelsItsAttempt) {
   start();
   add_request(1, 1s);
@@ -224,9 +225,9 @@
   EXPECT_TRUE(commands_of<BeginStream>().empty());
 }
 
-// The connection breaks, the engine answers with an error, or the query is cancelled: its effect may have
-// happened. A retry could make it happen twice.
-TEST_F(RequestRegistryTest, ANotIdempotentRequestThatMayHaveRunFailsWithoutARetry) {
+// After a broken connection, an engine error or a cancellation, the query may have taken effect. A retry
+// could repeat the effect.
+TEST_F(RequestRegistryTest, ANonIdempotentRequestThatMayHaveRunFailsWithoutARetry) {
   for (const auto result : {AttemptResult::reset, AttemptResult::error, AttemptResult::cancelled}) {
     start(Idempotency::not_idempotent);
     add_request(1);
@@ -240,7 +241,7 @@
   }
 }
 
-TEST_F(RequestRegistryTest, ANotIdempotentRequestThatNeverStartedIsRetried) {
+TEST_F(RequestRegistryTest, ANonIdempotentRequestThatNeverStartedIsRetried) {
   start(Idempotency::not_idempotent);
   add_request(1);
   run_until_idle();
@@ -265,7 +266,7 @@
   EXPECT_EQ(commands_of<DeliverResponse>().size(), 1U);
 }
 
-TEST(RequestStates, NothingFollowsTheFinalAnswer) {
+TEST(RequestStates, AllowsNoTransitionAfterTheFinalAnswer) {
   using enum RequestState;
   for (const auto to : {queued, in_flight, streaming, finished})
     EXPECT_FALSE(transition_allowed(finished, to));
--- a/tests/router/timer_test.cpp
+++ b/tests/router/timer_test.cpp
@@ -1,4 +1,5 @@
-// The daemon's timers on Asio: a wait that is over in the very turn in which it is cancelled.
+// Tests the daemon's Asio timers: a timer that is cancelled or set again in the same event loop turn in which
+// it expires must not call its callback.
 #include <gtest/gtest.h>
 
 #include <boost/asio/post.hpp>
@@ -11,7 +12,7 @@
 
 using namespace std::chrono_literals;
 
-TEST(Timers, OneThatIsCancelledOrSetAnewInTheTurnInWhichItIsOverDoesNotCall) {
+TEST(Timers, CancelledOrSetAgainInTheTurnOfItsExpiryDoesNotFire) {
   config::Config config;
   config.module.classes = {{.name = "lookup", .latency_objective = 1s, .timeout = 4s}};
   config.module.machine_types = {{.name = "std", .cores = 1}};
@@ -26,14 +27,16 @@
     timer->set(steady_now() + 1ms);
     asio::post(context, [&] {
       std::this_thread::sleep_for(5ms);
-      // The reactor looks between this and the next, and queues the call behind it.
+      // Between this handler and the next one, the reactor detects the expiry and queues the callback after
+      // it.
       asio::post(context, [&] {
         if (reset_timer) return timer->set(steady_now() + 1h);
         timer->cancel();
       });
     });
     context.run_for(50ms);
-    EXPECT_EQ(calls, 0) << (reset_timer ? "set anew" : "cancelled");
+    EXPECT_EQ(calls, 0) << (reset_timer ? "expected no call after the timer is set again"
+                                        : "expected no call after the timer is cancelled");
   }
 }
 
