--- a/src/path/frame_client_connection.cpp
+++ b/src/path/frame_client_connection.cpp
@@ -147,7 +147,7 @@
 // Rejects a request that was not admitted; with the default code, the client may retry it. A client that
 // sends too many invalid requests is disconnected.
 void FrameClientConnection::reject(std::uint32_t stream, std::string_view reason, frames::ResponseCode code) {
-  shard_.metrics().rejected->Increment();
+  shard_.metrics().invalid_requests->Increment();
   frames::put_response(write_buffer_, stream, code, {}, reason);
   if (++rejected_requests_ > kMaxRejectedRequests) close_with_error("too many requests that can't be taken");
 }
@@ -156,7 +156,7 @@
 // the connection.
 void FrameClientConnection::close_with_error(std::string_view reason) {
   if (state_ != ClientConnectionState::reading) return;
-  shard_.metrics().rejected->Increment();
+  shard_.metrics().invalid_requests->Increment();
   drop_open_requests();
   frames::put_response(write_buffer_, 0, frames::ResponseCode::failed, {}, reason);
   apply(state_, ClientConnectionEvent::last_response);
--- a/src/path/metrics.hpp
+++ b/src/path/metrics.hpp
@@ -1,5 +1,5 @@
-// Counters that Prometheus scrapes. Names follow its conventions; labels come from the configuration alone,
-// so their number is bounded.
+// Metrics for Prometheus. Names follow its conventions. Label values come only from the configuration, so the
+// number of time series is bounded.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -18,46 +18,51 @@
 
 class Metrics {
  public:
-  explicit Metrics(const std::vector<std::string>& classes);
+  explicit Metrics(const std::vector<std::string>& class_names);
 
   struct PerClass {
-    prometheus::Counter *served, *error, *refused, *failed, *overdue, *left, *broken, *limited;
-    prometheus::Histogram* seconds;
-    prometheus::Gauge *queued, *running, *budget;
+    prometheus::Counter *served, *error, *rejected, *failed, *deadline_exceeded, *disconnected, *aborted,
+        *rejected_at_limit;
+    prometheus::Histogram* duration_seconds;
+    prometheus::Gauge *queued, *running_threads, *budget_threads;
   };
   std::vector<PerClass> classes;
-  std::vector<prometheus::Counter*> attempts;  // by Result
-  prometheus::Counter *rejected, *descriptor_waits, *connections, *connections_refused, *dials, *redials,
-      *cancels, *settings_refused;
-  prometheus::Counter *list_updates, *list_failures, *list_refused;
-  prometheus::Counter *peers_sent, *peers_taken, *peers_forged, *peers_replayed, *peers_malformed;
-  prometheus::Counter *graphql_served, *graphql_errors, *graphql_rejected, *graphql_left, *graphql_statements;
-  prometheus::Gauge *graphql_open, *open, *pool, *clients, *engine_connections, *engines_ready, *decision_lag;
+  std::vector<prometheus::Counter*> attempts;  // by AttemptResult
+  prometheus::Counter *invalid_requests, *descriptor_waits, *connections, *connections_rejected, *dials,
+      *stale_connections, *cancels, *settings_rejected;
+  prometheus::Counter *endpoint_list_updates, *endpoint_list_failures, *endpoints_rejected;
+  prometheus::Counter *gossip_sent, *gossip_accepted, *gossip_forged, *gossip_replayed, *gossip_malformed;
+  prometheus::Counter *graphql_served, *graphql_errors, *graphql_rejected, *graphql_disconnected,
+      *graphql_statements;
+  prometheus::Gauge *graphql_open, *open_requests, *pool_threads, *clients, *engine_connections,
+      *engines_ready, *decision_lag;
 
-  // Figures of the groups that are written down; those made on demand are summed under their parent's "*".
-  static constexpr std::size_t kMostGroups = 200;  // further ones are left out of the metrics
-  void begin_groups();
-  void count_group(const groups::GroupView& group);
-  void end_groups(std::string json);
-  // All groups as JSON, for `heronwell groups`; from any thread.
-  [[nodiscard]] std::string groups() const;
-  prometheus::Counter *groups_reloaded, *groups_refused_reload, *groups_schedules;
+  // Metrics of the configured groups. Groups created on demand are summed under the "*" of their parent.
+  static constexpr std::size_t kMaxGroups = 200;  // groups beyond this number are omitted
+  // A scan of the groups: begin_group_scan(), add_group() for each group, then finish_group_scan(), which
+  // updates the metrics and stores `json` for groups_json().
+  void begin_group_scan();
+  void add_group(const groups::GroupView& group);
+  void finish_group_scan(std::string json);
+  // Returns all groups as JSON, for `heronwell groups`. Safe to call from any thread.
+  [[nodiscard]] std::string groups_json() const;
+  prometheus::Counter *group_reloads, *group_reloads_rejected, *group_schedule_changes;
 
   [[nodiscard]] std::string text() const;
 
  private:
-  struct GroupSum {
-    double queued = 0, running = 0, set = 0, got = 0, used = 0;
-    std::map<std::string, std::uint64_t> refused;
+  struct GroupTotals {
+    double queued = 0, running_threads = 0, configured_share = 0, actual_share = 0, engine_seconds = 0;
+    std::map<std::string, std::uint64_t> rejected;
   };
-  struct PerGroup {
-    prometheus::Gauge *queued, *running, *share_set, *share_got;
-    prometheus::Counter* used;
-    std::map<std::string, prometheus::Counter*> refused;
+  struct GroupSeries {
+    prometheus::Gauge *queued, *running_threads, *configured_share, *actual_share;
+    prometheus::Counter* engine_seconds;
+    std::map<std::string, prometheus::Counter*> rejected;
   };
   prometheus::Registry registry_;
-  std::map<std::string, GroupSum> sums_;  // of the scan
-  std::map<std::string, PerGroup> groups_;
+  std::map<std::string, GroupTotals> group_totals_;  // of the current scan
+  std::map<std::string, GroupSeries> group_series_;
   mutable std::mutex mutex_;
   std::string groups_json_;
 };
--- a/tests/router/query_parser_test.cpp
+++ b/tests/router/query_parser_test.cpp
@@ -10,23 +10,23 @@
 
 using namespace std::chrono_literals;
 
-Settings settings() {
-  Settings s;
-  s.classes = {{.name = "lookup", .latency_objective = 500ms, .timeout = 2s},
-               {.name = "report", .latency_objective = 3s, .timeout = 20s}};
-  s.tenants = {{.name = "blue"}, {.name = "red"}};
-  return s;
+Settings two_class_settings() {
+  Settings settings;
+  settings.classes = {{.name = "lookup", .latency_objective = 500ms, .timeout = 2s},
+                      {.name = "report", .latency_objective = 3s, .timeout = 20s}};
+  settings.tenants = {{.name = "blue"}, {.name = "red"}};
+  return settings;
 }
 
 std::string field_of(std::string_view body, std::optional<std::string_view> timeout = {}) {
-  const auto read = QueryParser(settings()).parse(body, timeout);
+  const auto read = QueryParser(two_class_settings()).parse(body, timeout);
   const auto* problem = std::get_if<Problem>(&read);
   return problem == nullptr ? "" : problem->field + ": " + problem->detail;
 }
 
 TEST(QueryParsing, ReadsEveryField) {
   const auto read =
-      QueryParser(settings())
+      QueryParser(two_class_settings())
           .parse(
               R"({"statement":"select 1","class":"report","tenant":"red","data_group":"floor 7","key":5,"estimates":{"work_ms":12.5,"memory_mb":3},"repeat":true})",
               "700");
@@ -43,7 +43,7 @@
   EXPECT_TRUE(request.client_retry);
 }
 
-TEST(QueryParsing, NamesTheFieldThatIsWrong) {
+TEST(QueryParsing, ErrorsNameTheInvalidField) {
   EXPECT_EQ(field_of("{"), ": JSON, at byte 1: Missing a name for object member.");
   EXPECT_EQ(field_of("[]"), ": expected a JSON object");
   EXPECT_EQ(field_of(R"({"class":"lookup"})"), "statement: missing");
@@ -69,27 +69,27 @@
             field_of(R"({"statement":"s","class":"lookup"})", "-5"));
   EXPECT_EQ(field_of(R"({"statement":"s","class":"lookup"})", "99999"), "");
   EXPECT_NE(field_of("{\"statement\":\"\xff\",\"class\":\"lookup\"}"), "");
-  EXPECT_NE(field_of(std::string(100'000, '[')), "") << "deep nesting is an error, not a crash";
+  EXPECT_NE(field_of(std::string(100'000, '[')), "") << "expected an error for deep nesting";
 }
 
-TEST(Problems, SayWhetherARetryIsHarmless) {
-  FinishRequest answer;
-  answer.status = FinalStatus::rejected;
-  answer.retry_after = 1500ms;
+TEST(Problems, BodyStatesWhetherARetryIsSafe) {
+  FinishRequest finish;
+  finish.status = FinalStatus::rejected;
+  finish.retry_after = 1500ms;
   EXPECT_EQ(
-      problem_body(problem_of(answer)),
+      problem_body(problem_of(finish)),
       R"({"type":"about:blank","status":503,"outcome":"refused","retry_harmless":true,"retry_after_ms":1500,"detail":"not run; the engines are busy or out of reach"})");
   EXPECT_EQ(retry_after_seconds(1500ms), 2);
-  answer.status = FinalStatus::failed;
-  answer.last_result = AttemptResult::reset;
-  answer.provably_never_ran = false;
-  EXPECT_EQ(problem_of(answer).status, 502);
-  EXPECT_FALSE(problem_of(answer).retry_is_safe);
-  answer.last_result = AttemptResult::timed_out;
-  EXPECT_EQ(problem_of(answer).status, 504);
+  finish.status = FinalStatus::failed;
+  finish.last_result = AttemptResult::reset;
+  finish.provably_never_ran = false;
+  EXPECT_EQ(problem_of(finish).status, 502);
+  EXPECT_FALSE(problem_of(finish).retry_is_safe);
+  finish.last_result = AttemptResult::timed_out;
+  EXPECT_EQ(problem_of(finish).status, 504);
 }
 
-TEST(Problems, NameTheirOutcomeByTheWordOfTheInterface) {
+TEST(Problems, OutcomeTextsMatchTheInterface) {
   EXPECT_EQ(text_of(ProblemOutcome::bad_request), "rejected");
   EXPECT_EQ(text_of(ProblemOutcome::rejected), "refused");
   EXPECT_EQ(text_of(ProblemOutcome::failed), "failed");
@@ -111,7 +111,7 @@
   return out;
 }
 
-TEST(Rows, BecomeJsonByTheirTypes) {
+TEST(Rows, ConvertsValuesToJsonByColumnType) {
   EXPECT_EQ(
       rows({{"a", 20}, {"b", 16}, {"c", 25}, {"d", 701}},
            {{"9007199254740993", "t", "x\"\n\x01", "NaN"}, {std::nullopt, "f", "", "-1.5e3"}}),
@@ -120,7 +120,7 @@
             R"({"columns":["a"],"rows":[["01"],["+1"],[""],["1."]],"command":"SELECT"})");
 }
 
-TEST(Rows, ThatAreNoUtf8StayJson) {
+TEST(Rows, ReplacesInvalidUtf8InJsonText) {
   std::string out;
   put_json_text(out, "a\xff\xc3\xa4\xc0\x80\xed\xa0\x80\xf0\x9f\x98\x80\xe2\x82");
   EXPECT_EQ(out,
@@ -128,7 +128,7 @@
             "\x80\xef\xbf\xbd\xef\xbf\xbd\"");
 }
 
-TEST(Rows, OfSeveralResultsStandUnderMore) {
+TEST(Rows, PutsFurtherResultsUnderMore) {
   std::string out;
   JsonRows json;
   json.complete(out, "SET");
