--- a/tests/router/load_deaths_test.cpp
+++ b/tests/router/load_deaths_test.cpp
@@ -114,7 +114,7 @@
     const Time took_effect_at = received + random_time(1, 40),
                answered = took_effect_at + random_time(0.1, 1);
     Time at = answered;
-    // The first attempt always meets an engine failure, at a time from 1 ms before it to 1 ms after it.
+    // The first attempt always meets an engine failure, 1 ms before its start to 1 ms after its response.
     const bool fails = sent_attempts.size() == 1 || random_() % 2 == 0;
     const Time failed_at = random_time(-1, milliseconds(answered) + 1);
     if (fails) {
