--- a/benchmarks/groups_bench.cpp
+++ b/benchmarks/groups_bench.cpp
@@ -37,14 +37,14 @@
   RequestId ids = 0;
   std::size_t next = 0;
   std::map<RequestId, std::size_t> const out;
-  shares.at(now, 64);
+  shares.advance_time(now, 64);
   for (std::size_t i = 0; i < 2 * waiting; ++i)
-    (void)shares.enter(++ids, paths[i % waiting], false, {0, 0, {}});
+    (void)shares.admit(++ids, paths[i % waiting], false, {0, 0, {}});
   std::vector<RequestId> running(32);
   for (auto _ : state) {
     now += std::chrono::microseconds(20);
-    shares.at(now, 64);
-    (void)shares.enter(++ids, paths[next++ % waiting], false, {0, 0, {}});
+    shares.advance_time(now, 64);
+    (void)shares.admit(++ids, paths[next++ % waiting], false, {0, 0, {}});
     const auto& turn = shares.next_requests(0);
     if (turn.empty()) {
       state.SkipWithError("nobody in turn");
@@ -54,8 +54,8 @@
     shares.attempt_started(id);
     auto& slot = running[ids % running.size()];
     if (slot != 0) {
-      shares.ended(slot, 0, true);
-      shares.settled(slot);
+      shares.attempt_ended(slot, 0, true);
+      shares.request_finished(slot);
     }
     slot = id;
   }
@@ -79,7 +79,7 @@
   text += "  - {class: lookup, group: g}\n";
   auto section = yaml::Section::text(text, "selectors");
   const auto selectors = groups::Selectors::read(section);
-  groups::Described asked;
+  groups::RequestAttributes asked;
   asked.cls = "lookup";
   asked.header = [](std::string_view) { return std::optional<std::string>("other-thing"); };
   for (auto _ : state) benchmark::DoNotOptimize(selectors.choose(asked));
--- a/benchmarks/groups_options.cpp
+++ b/benchmarks/groups_options.cpp
@@ -171,8 +171,8 @@
   }
 
   void enter_gate(router::Ticket ticket) {
-    gate_->at(now_, host_->decision_engine().pool_threads());
-    (void)gate_->enter(static_cast<RequestId>(ticket), streams_[queries_[ticket].stream].group, false,
+    gate_->advance_time(now_, host_->decision_engine().pool_threads());
+    (void)gate_->admit(static_cast<RequestId>(ticket), streams_[queries_[ticket].stream].group, false,
                        {streams_[queries_[ticket].stream].cls, 0, {}});
   }
 
@@ -221,8 +221,8 @@
     auto& query = queries_.at(ticket);
     const auto n = static_cast<AttemptIndex>(query.attempts - 1);
     if (gate_) {
-      gate_->at(now_, host_->decision_engine().pool_threads());
-      gate_->ended(static_cast<RequestId>(ticket), 0, true);
+      gate_->advance_time(now_, host_->decision_engine().pool_threads());
+      gate_->attempt_ended(static_cast<RequestId>(ticket), 0, true);
     }
     if (gateway_) {
       AttemptFinished outcome;
@@ -250,7 +250,7 @@
   void over(router::Ticket ticket) {
     const auto found = queries_.find(ticket);
     if (found == queries_.end()) return;
-    if (gate_) gate_->settled(static_cast<RequestId>(ticket));
+    if (gate_) gate_->request_finished(static_cast<RequestId>(ticket));
     if (found->second.engine != 0) engines_[found->second.engine - 1].remove(now_, ticket);
     queries_.erase(found);
   }
@@ -274,7 +274,7 @@
   void decide() {
     if (gate_) {
       // As many as may be out, and one query's threads more, so that the module always has a choice.
-      gate_->at(now_, host_->decision_engine().pool_threads());
+      gate_->advance_time(now_, host_->decision_engine().pool_threads());
       std::vector<router::Ticket> late;
       for (const auto& [ticket, query] : queries_)
         if (query.waiting && !in_module_.contains(ticket) && now_ >= query.deadline - 45ms)
--- a/src/cli/groups.cpp
+++ b/src/cli/groups.cpp
@@ -97,7 +97,7 @@
 }
 
 struct ExplainOptions {
-  groups::Described request;
+  groups::RequestAttributes request;
   std::vector<std::string> headers;  // "name: value"
   std::string statement;
 };
--- a/src/groups/fair_shares.cpp
+++ b/src/groups/fair_shares.cpp
@@ -26,7 +26,7 @@
   Ancestors(const GroupNodes& nodes, GroupNumber leaf) {
     for (auto group = leaf; group != kRootGroup; group = nodes[group].parent) groups[count++] = group;
   }
-  std::array<GroupNumber, Tree::kDeepest + 2> groups{};
+  std::array<GroupNumber, Tree::kMaxDepth + 2> groups{};
   std::size_t count = 0;
 };
 
@@ -115,7 +115,7 @@
   }
 }
 
-void FairShares::discount_request(GroupNumber leaf) {
+void FairShares::uncount_request(GroupNumber leaf) {
   for (auto group = leaf;; group = nodes_[group].parent) {
     auto& node = nodes_[group];
     const bool last = --node.share.requests == 0;
--- a/src/groups/fair_shares.hpp
+++ b/src/groups/fair_shares.hpp
@@ -37,7 +37,7 @@
 
   // A request comes to the leaf, or leaves it: groups with requests are those that share.
   void count_request(GroupNumber leaf);
-  void discount_request(GroupNumber leaf);
+  void uncount_request(GroupNumber leaf);
   void set_weight(GroupNumber group, double weight);
 
   // A group that was `before`, under a parent that was `parent_before`, goes on: what it owes its siblings,
--- a/src/groups/group_directory.cpp
+++ b/src/groups/group_directory.cpp
@@ -48,8 +48,8 @@
   nodes_.clear();
   free_.clear();
   by_path_.clear();
-  gossip_.forget_groups();
-  made_count_ = 0;
+  gossip_.clear_groups();
+  on_demand_count_ = 0;
   const auto& groups = tree.groups();
   std::vector<GroupNumber> numbers(groups.size());
   for (std::size_t i = 0; i < groups.size(); ++i) {
@@ -64,49 +64,49 @@
   return found == by_path_.end() ? nullptr : &found->second;
 }
 
-GroupDirectory::Place GroupDirectory::place(std::string_view path, bool made) {
+GroupDirectory::Place GroupDirectory::place(std::string_view path, bool from_template) {
   if (const auto* found = find(path))
     return {*found, nodes_[*found].leaf() ? Limit::none : Limit::unknown_group};
-  return made ? make(path) : find_former(path);
+  return from_template ? create(path) : find_by_former_path(path);
 }
 
 // Chosen by selectors that a reload has just replaced.
-GroupDirectory::Place GroupDirectory::find_former(std::string_view path) const {
+GroupDirectory::Place GroupDirectory::find_by_former_path(std::string_view path) const {
   const auto former = former_leaves_.find(path);
   const auto* found = former == former_leaves_.end() ? nullptr : find(former->second);
   if (found == nullptr || !nodes_[*found].leaf()) return {kRootGroup, Limit::unknown_group};
   return {*found, Limit::none};
 }
 
-GroupDirectory::Place GroupDirectory::make(std::string_view path) {
+GroupDirectory::Place GroupDirectory::create(std::string_view path) {
   const auto dot = path.rfind('.');
   const bool under_root = dot == std::string_view::npos;
   const auto* found = under_root ? &kRootGroup : find(path.substr(0, dot));
   if (found == nullptr) return {kRootGroup, Limit::unknown_group};
   const auto parent = *found;
   if (nodes_[parent].share.requests > 0 && nodes_[parent].leaf()) return {kRootGroup, Limit::unknown_group};
-  if (made_count_ >= context_.settings.most_made) remove_idle();
-  if (made_count_ >= context_.settings.most_made) return {kRootGroup, Limit::made};
+  if (on_demand_count_ >= context_.settings.most_made) remove_idle();
+  if (on_demand_count_ >= context_.settings.most_made) return {kRootGroup, Limit::made};
   Group group;
   group.path = path;
   group.name = under_root ? path : path.substr(dot + 1);
   group.depth = nodes_[parent].settings.depth + 1;
   const auto number = append(std::move(group), parent);
-  nodes_[number].made = true;
-  nodes_[number].made_since = context_.now;
-  ++made_count_;
+  nodes_[number].on_demand = true;
+  nodes_[number].created_at = context_.now;
+  ++on_demand_count_;
   return {number, Limit::none};
 }
 
-GroupNumber GroupDirectory::place_of_removed() {
+GroupNumber GroupDirectory::removed_group() {
   const auto existing = place(kRemovedGroup, false);
   if (existing.limit == Limit::none) return existing.group;
   Group group;
   group.name = group.path = kRemovedGroup;
   group.depth = 1;
   const auto number = append(std::move(group), kRootGroup);
-  nodes_[number].made = true;
-  ++made_count_;
+  nodes_[number].on_demand = true;
+  ++on_demand_count_;
   return number;
 }
 
@@ -121,18 +121,18 @@
   }
   by_path_.erase(node.settings.path);
   gossip_.remove_group(group);
-  if (node.made) --made_count_;
+  if (node.on_demand) --on_demand_count_;
   node.live = false;
   free_.push_back(group);
 }
 
 void GroupDirectory::remove_if_unused(GroupNumber leaf) {
   const auto& node = nodes_[leaf];
-  if (node.settings.path == kRemovedGroup && node.made && node.share.requests == 0) remove(leaf);
+  if (node.settings.path == kRemovedGroup && node.on_demand && node.share.requests == 0) remove(leaf);
 }
 
 void GroupDirectory::sweep() {
-  if (made_count_ > 0 && context_.now >= last_sweep_ + kSweepInterval) remove_idle();
+  if (on_demand_count_ > 0 && context_.now >= last_sweep_ + kSweepInterval) remove_idle();
 }
 
 void GroupDirectory::remove_idle() {
@@ -140,8 +140,8 @@
   std::size_t left = kRemovedPerSweep;
   for (GroupNumber group = 1; group < nodes_.size() && left > 0; ++group) {
     const auto& node = nodes_[group];
-    const bool idle = node.live && node.made && node.leaf() && node.share.requests == 0;
-    const auto since = std::max(node.share.idle_since, node.made_since);
+    const bool idle = node.live && node.on_demand && node.leaf() && node.share.requests == 0;
+    const auto since = std::max(node.share.idle_since, node.created_at);
     if (!idle || context_.now < since + context_.settings.made_idle) continue;
     remove(group);
     --left;
--- a/src/groups/group_directory.hpp
+++ b/src/groups/group_directory.hpp
@@ -42,15 +42,15 @@
     Limit limit = Limit::none;  // else the request is rejected; counted in `group`
   };
   // The leaf for a request; `made`: a template named the path, which may be made.
-  Place place(std::string_view path, bool made);
-  GroupNumber place_of_removed();
+  Place place(std::string_view path, bool from_template);
+  GroupNumber removed_group();
   void remove_if_unused(GroupNumber leaf);  // one for requests of removed groups
   void sweep();                             // removes made groups that are idle for long, now and then
 
  private:
   GroupNumber append(Group group, GroupNumber parent);
-  Place make(std::string_view path);
-  [[nodiscard]] Place find_former(std::string_view path) const;
+  Place create(std::string_view path);
+  [[nodiscard]] Place find_by_former_path(std::string_view path) const;
   void remove(GroupNumber group);
   void remove_idle();
 
@@ -61,7 +61,7 @@
   std::vector<GroupNumber> free_;  // numbers of removed groups
   std::map<std::string, GroupNumber, std::less<>> by_path_;
   std::map<std::string, std::string, std::less<>> former_leaves_;
-  std::size_t made_count_ = 0;
+  std::size_t on_demand_count_ = 0;
   Time last_sweep_{};
 };
 
--- a/src/groups/group_dispatch.cpp
+++ b/src/groups/group_dispatch.cpp
@@ -11,14 +11,14 @@
 
 // Longest time for which a group that starts nothing is passed by. Bounds how long a group waits after its
 // engines come back, at a cost in idle threads of at most one patience in as long.
-constexpr Time kMaxPassTime = 8s;
+constexpr Time kMaxSkipTime = 8s;
 
 // A group had its chance when this many times the threads of its narrowest query became free. More than one,
 // since the decision engine may need some of them for a class of higher rank.
 constexpr std::uint64_t kUnusedOffers = 4;
 
 // How long after that the group may still start a query: a tick of the decision engine, in which it chooses.
-constexpr Time kOfferTime = 20ms;
+constexpr Time kOfferGrace = 20ms;
 
 // Children of one group whose patience runs at once, in sibling order, and how often they are looked at. Few
 // enough that the cost of an offer does not grow with the number of groups that wait.
@@ -34,14 +34,14 @@
 constexpr std::size_t kOfferedOrderedLeaves = 8;
 
 // Shortest time to pass a group by, where operators set no patience: a time of zero would never grow.
-constexpr Time kMinPassTime = 1ms;
+constexpr Time kMinSkipTime = 1ms;
 
 }  // namespace
 
 void GroupDispatch::begin_to_wait(GroupNumber group) {
   auto& node = nodes_[group];
   // Soon after the last, it is the same wait: what it could not start timed out, and others came for it.
-  if (context_.now > node.share.idle_since + kMaxPassTime) node.hold = {};
+  if (context_.now > node.share.idle_since + kMaxSkipTime) node.hold = {};
 }
 
 void GroupDispatch::started(GroupNumber leaf) {
@@ -51,57 +51,58 @@
   }
 }
 
-void GroupDispatch::stood_still(Time duration) {
+void GroupDispatch::exclude_pause(Time duration) {
   for (auto& node : nodes_)
     if (node.hold.since > Time::zero()) node.hold.since += duration;
 }
 
-void GroupDispatch::begin_hold(GroupNode& node) const {
+void GroupDispatch::start_hold(GroupNode& node) const {
   if (node.hold.since != Time::zero()) return;
   node.hold.since = context_.now;
   node.hold.freed_before = context_.freed_threads;
 }
 
-void GroupDispatch::begin_holds(GroupNode& parent, ClassIndex cls) {
-  if (context_.now < parent.holds_marked_at + kHoldsInterval) return;
-  parent.holds_marked_at = context_.now;
+void GroupDispatch::start_holds(GroupNode& parent, ClassIndex cls) {
+  if (context_.now < parent.holds_started_at + kHoldsInterval) return;
+  parent.holds_started_at = context_.now;
   std::size_t left = kHoldsPerParent;
   for (const auto& key : parent.queue.waiting[cls]) {
     if (left-- == 0) break;
-    begin_hold(nodes_[key.node]);
+    start_hold(nodes_[key.node]);
   }
 }
 
-unsigned GroupDispatch::narrowest_queued(const GroupNode& node) const {
-  unsigned narrowest = context_.widest_query;
+unsigned GroupDispatch::min_queued_query_threads(const GroupNode& node) const {
+  unsigned min_threads_needed = context_.max_query_threads;
   for (std::size_t cls = 0; cls < context_.classes.size(); ++cls)
-    if (node.queue.queued_by_class[cls] > 0) narrowest = std::min(narrowest, context_.classes[cls].threads);
-  return narrowest;
+    if (node.queue.queued_by_class[cls] > 0)
+      min_threads_needed = std::min(min_threads_needed, context_.classes[cls].threads);
+  return min_threads_needed;
 }
 
 // Begins to pass the group by where it had its chance.
-bool GroupDispatch::passed_by(GroupNode& node) const {
+bool GroupDispatch::update_skipping(GroupNode& node) const {
   const auto now = context_.now;
   auto& hold = node.hold;
   if (hold.since == Time::zero()) return false;
-  if (now < hold.passed_until) return true;
-  if (hold.passed_until > hold.since) {  // the others' time is over: it holds them back again
+  if (now < hold.skip_until) return true;
+  if (hold.skip_until > hold.since) {  // the others' time is over: it holds them back again
     hold.since = now;
     hold.freed_before = context_.freed_threads;
     hold.enough_freed_at = {};
   }
-  const auto narrowest = narrowest_queued(node);
+  const auto min_threads_needed = min_queued_query_threads(node);
   if (hold.enough_freed_at == Time::zero() &&
-      context_.freed_threads >= hold.freed_before + kUnusedOffers * narrowest)
+      context_.freed_threads >= hold.freed_before + kUnusedOffers * min_threads_needed)
     hold.enough_freed_at = now;
-  const bool unused = hold.enough_freed_at > Time::zero() && now >= hold.enough_freed_at + kOfferTime;
+  const bool offers_unused = hold.enough_freed_at > Time::zero() && now >= hold.enough_freed_at + kOfferGrace;
   const auto running = nodes_[kRootGroup].usage.running;
-  const bool spare_threads = running + narrowest <= context_.pool_threads || running == 0;
-  const bool impatient = spare_threads && now >= hold.since + context_.settings.patience;
-  if (!unused && !impatient) return false;
-  const auto shortest = std::max(context_.settings.patience, kMinPassTime);
-  hold.pass_time = std::min(std::max(2 * hold.pass_time, shortest), kMaxPassTime);
-  hold.passed_until = now + hold.pass_time;
+  const bool spare_threads = running + min_threads_needed <= context_.pool_threads || running == 0;
+  const bool patience_expired = spare_threads && now >= hold.since + context_.settings.patience;
+  if (!offers_unused && !patience_expired) return false;
+  const auto shortest = std::max(context_.settings.patience, kMinSkipTime);
+  hold.skip_time = std::min(std::max(2 * hold.skip_time, shortest), kMaxSkipTime);
+  hold.skip_until = now + hold.skip_time;
   return true;
 }
 
@@ -111,7 +112,8 @@
   for (std::size_t cls = 0; cls < waiting.size(); ++cls) {
     for (const auto& key : waiting[cls]) {
       if (first && *first < key) break;
-      if (limits_.at_ceiling(key.node, static_cast<ClassIndex>(cls)) || passed_by(nodes_[key.node])) continue;
+      if (limits_.at_ceiling(key.node, static_cast<ClassIndex>(cls)) || update_skipping(nodes_[key.node]))
+        continue;
       first = key;
       break;
     }
@@ -120,7 +122,8 @@
 }
 
 // How far in order a sibling may be and still go beside the first.
-double GroupDispatch::furthest_order(const GroupNode& parent, const SiblingKey& first, double rate) const {
+double GroupDispatch::max_concurrent_order(const GroupNode& parent, const SiblingKey& first,
+                                           double rate) const {
   switch (parent.settings.policy) {
     case Policy::fair:
       return first.order + seconds(context_.settings.slack) * rate;
@@ -155,18 +158,18 @@
   auto& node = nodes_[parent];
   const auto& waiting = node.queue.waiting;
   if (waiting.empty() || waiting[cls].empty()) return;
-  begin_holds(node, cls);
+  start_holds(node, cls);
   const auto first = first_in_order(parent);
-  if (first) begin_hold(nodes_[first->node]);
+  if (first) start_hold(nodes_[first->node]);
   const double rate = node.share.active_weight > 0 ? share / node.share.active_weight : share;
   if (first && first->after_minima && node.settings.policy == Policy::fair)
     shares_.raise_floor(parent, first->order);
-  const double furthest = first ? furthest_order(node, *first, rate) : 0;
+  const double max_order = first ? max_concurrent_order(node, *first, rate) : 0;
   const std::size_t most =
       context_.classes[cls].in_order ? kOfferedPerOrderedLeaf * kOfferedOrderedLeaves : kOfferedLeaves;
   for (const auto& key : waiting[cls]) {
     if (offered_.size() >= most) return;
-    if (first && key.after_minima && (!first->after_minima || key.order > furthest)) break;
+    if (first && key.after_minima && (!first->after_minima || key.order > max_order)) break;
     if (!limits_.at_ceiling(key.node, cls))
       offer_group(key.node, cls, rate * nodes_[key.node].settings.weight);
   }
--- a/src/groups/group_dispatch.hpp
+++ b/src/groups/group_dispatch.hpp
@@ -38,17 +38,18 @@
   // A queued request of the leaf has started: its groups hold nobody back until they are first again.
   void started(GroupNumber leaf);
   // This router stood still for so long: nobody's patience has run, since nothing was offered.
-  void stood_still(Time duration);
+  void exclude_pause(Time duration);
 
  private:
-  void begin_hold(GroupNode& node) const;
-  void begin_holds(GroupNode& parent, ClassIndex cls);
-  [[nodiscard]] unsigned narrowest_queued(const GroupNode& node) const;
-  [[nodiscard]] bool passed_by(GroupNode& node) const;
+  void start_hold(GroupNode& node) const;
+  void start_holds(GroupNode& parent, ClassIndex cls);
+  [[nodiscard]] unsigned min_queued_query_threads(const GroupNode& node) const;
+  [[nodiscard]] bool update_skipping(GroupNode& node) const;
   void offer_group(GroupNumber group, ClassIndex cls, double share);
   void offer_children(GroupNumber parent, ClassIndex cls, double share);
   void offer_leaf(GroupNumber leaf, ClassIndex cls);
-  [[nodiscard]] double furthest_order(const GroupNode& parent, const SiblingKey& first, double rate) const;
+  [[nodiscard]] double max_concurrent_order(const GroupNode& parent, const SiblingKey& first,
+                                            double rate) const;
 
   const ShareContext& context_;
   GroupNodes& nodes_;
--- a/src/groups/group_limits.cpp
+++ b/src/groups/group_limits.cpp
@@ -113,7 +113,7 @@
   return std::min(first(wait_deadlines_), first(run_deadlines_));
 }
 
-void GroupLimits::forget_deadlines() {
+void GroupLimits::clear_deadlines() {
   wait_deadlines_.clear();
   run_deadlines_.clear();
 }
--- a/src/groups/group_limits.hpp
+++ b/src/groups/group_limits.hpp
@@ -56,12 +56,12 @@
   [[nodiscard]] Time run_deadline(GroupNumber leaf) const;
   void watch_wait(RequestId request, Time deadline);
   void watch_run(RequestId request, Time deadline);
-  void forget_wait(RequestId request, Time deadline) { wait_deadlines_.erase({deadline, request}); }
-  void forget_run(RequestId request, Time deadline) { run_deadlines_.erase({deadline, request}); }
+  void unwatch_wait(RequestId request, Time deadline) { wait_deadlines_.erase({deadline, request}); }
+  void unwatch_run(RequestId request, Time deadline) { run_deadlines_.erase({deadline, request}); }
   // Those overdue by now, each once; the ones that wait first.
   std::vector<OverdueRequest> take_overdue();
   [[nodiscard]] Time next_deadline() const;  // Time::max(): none
-  void forget_deadlines();
+  void clear_deadlines();
 
  private:
   using Deadlines = std::set<std::pair<Time, RequestId>>;
--- a/src/groups/group_node.hpp
+++ b/src/groups/group_node.hpp
@@ -30,13 +30,13 @@
 
 struct GroupNode {
   // ---- GroupDirectory ------------------------------------------------------------------------------------
-  Group settings;     // with what a schedule made of it
-  bool made = false;  // by a template, or for requests of removed groups
-  bool live = true;   // false: removed, the number is free
+  Group settings;          // with what a schedule made of it
+  bool on_demand = false;  // by a template, or for requests of removed groups
+  bool live = true;        // false: removed, the number is free
   GroupNumber parent = kRootGroup;
   std::vector<GroupNumber> children;
   std::size_t position = 0;  // among its parent's children
-  Time made_since{};
+  Time created_at{};
 
   // ---- FairShares ----------------------------------------------------------------------------------------
   struct Share {
@@ -65,12 +65,12 @@
   // ---- GroupDispatch -------------------------------------------------------------------------------------
   struct Hold {
     Time since{};                    // holds others back since; zero: it does not
-    Time passed_until{};             // others go until
-    Time pass_time{};                // for so long the last time
+    Time skip_until{};               // others go until
+    Time skip_time{};                // for so long the last time
     Time enough_freed_at{};          // when enough threads had become free; zero: not yet
     std::uint64_t freed_before = 0;  // threads that had become free when it began to hold
   } hold;
-  Time holds_marked_at{};  // its children, whose patience runs
+  Time holds_started_at{};  // its children, whose patience runs
 
   // ---- GroupLimits ---------------------------------------------------------------------------------------
   struct Usage {
@@ -80,7 +80,7 @@
   } usage;
 
   // ---- ShareGossip ---------------------------------------------------------------------------------------
-  std::uint64_t gossiped_at = 0;  // number of the message that last carried its sum
+  std::uint64_t last_gossip_message = 0;  // number of the message that last carried its sum
 
   [[nodiscard]] bool leaf() const { return children.empty(); }
 };
--- a/src/groups/group_request.hpp
+++ b/src/groups/group_request.hpp
@@ -21,9 +21,9 @@
   Query query;
   std::uint64_t arrival = 0;  // order among all requests
   bool waiting = false;       // queued
-  bool settled = false;       // has its final answer
+  bool finished = false;      // has its final answer
   std::vector<InFlightAttempt> in_flight;
-  Time wait_until = Time::max(), run_until = Time::max();  // longest wait and run time of its groups
+  Time wait_deadline = Time::max(), run_deadline = Time::max();  // longest wait and run time of its groups
   [[nodiscard]] bool running() const {
     return std::ranges::any_of(in_flight, [](const InFlightAttempt& one) { return !one.ended; });
   }
--- a/src/groups/group_view.cpp
+++ b/src/groups/group_view.cpp
@@ -28,7 +28,7 @@
   GroupView view;
   view.path = node.settings.path;
   view.depth = node.settings.depth;
-  view.made = node.made;
+  view.made = node.on_demand;
   view.weight = node.settings.weight;
   view.min_threads = node.settings.min_threads;
   view.max_threads = node.settings.max_threads;
@@ -38,7 +38,7 @@
   view.share_got = FairShares::recent(node, context_.now) / recent_of_all;
   view.lent = view.share_set - view.share_got;
   view.used_s = node.share.used_here;
-  view.heard_s = node.share.used_elsewhere;
+  view.used_elsewhere_s = node.share.used_elsewhere;
   view.queued = node.queue.queued;
   view.running = node.usage.running;
   for (const auto& [limit, count] : node.usage.rejected) view.refused[std::string(name_of(limit))] = count;
--- a/src/groups/group_view.hpp
+++ b/src/groups/group_view.hpp
@@ -22,11 +22,11 @@
   unsigned depth = 0;
   bool made = false;
   double weight = 1, min_threads = 0, max_threads = 0;
-  double share_set = 0;  // of the engines, by weights alone; 0 to 1
-  double share_got = 0;  // of the engine time used lately on this router and those that gossip
-  double lent = 0;       // of share_set, used by others for want of queries; negative: borrowed
-  double used_s = 0;     // engine time on this router, thread-seconds since the start
-  double heard_s = 0;    // on others, from their gossip
+  double share_set = 0;         // of the engines, by weights alone; 0 to 1
+  double share_got = 0;         // of the engine time used lately on this router and those that gossip
+  double lent = 0;              // of share_set, used by others for want of queries; negative: borrowed
+  double used_s = 0;            // engine time on this router, thread-seconds since the start
+  double used_elsewhere_s = 0;  // on others, from their gossip
   std::size_t queued = 0;
   unsigned running = 0;                          // threads
   std::map<std::string, std::uint64_t> refused;  // rejected, by limit
--- a/src/groups/schedule.cpp
+++ b/src/groups/schedule.cpp
@@ -37,7 +37,7 @@
 }
 
 // "2026-12-24T18:00", local, since 1970.
-std::optional<Time> moment(std::string_view text) {
+std::optional<Time> local_date_time(std::string_view text) {
   if (text.size() != 16 || text[4] != '-' || text[7] != '-' || text[10] != 'T') return std::nullopt;
   const auto year = digits(text.substr(0, 4)), month = digits(text.substr(5, 2)),
              day = digits(text.substr(8, 2));
@@ -55,7 +55,7 @@
   return zone.to_sys(at, date::choose::earliest).time_since_epoch();
 }
 
-double between(double written, double set, double level) {
+double interpolate(double written, double set, double level) {
   if (level >= 1) return set;
   if (level <= 0) return written;
   return std::isfinite(written) && std::isfinite(set) ? written + level * (set - written) : set;
@@ -77,23 +77,23 @@
 void Schedules::read_times(yaml::Section& section, Window& window) {
   const auto from = section.string("from");
   const auto to = section.string("to");
-  window.once = from.size() > kClockTimeLength;
-  const auto first = window.once ? moment(from) : clock_time(from);
-  const auto last = window.once ? moment(to) : clock_time(to);
+  window.one_time = from.size() > kClockTimeLength;
+  const auto first = window.one_time ? local_date_time(from) : clock_time(from);
+  const auto last = window.one_time ? local_date_time(to) : clock_time(to);
   if (!first) section.fail("from", R"(expected a time such as "22:00" or "2026-12-24T18:00")");
   if (!last)
-    section.fail("to", window.once ? "expected a moment such as \"2026-12-27T00:00\""
-                                   : "expected a time such as \"06:00\"");
+    section.fail("to", window.one_time ? "expected a moment such as \"2026-12-27T00:00\""
+                                       : "expected a time such as \"06:00\"");
   window.from = *first;
   window.to = *last;
-  if (window.once && window.to <= window.from) section.fail("to", "expected a moment after from");
-  if (!window.once && window.to <= window.from) window.to += kDay;
+  if (window.one_time && window.to <= window.from) section.fail("to", "expected a moment after from");
+  if (!window.one_time && window.to <= window.from) window.to += kDay;
 }
 
 void Schedules::read_days(yaml::Section& section, Window& window) {
-  if (window.once && section.has("days")) section.fail("days", "expected none beside moments");
+  if (window.one_time && section.has("days")) section.fail("days", "expected none beside moments");
   window.days.fill(!section.has("days"));
-  if (window.once) return;
+  if (window.one_time) return;
   for (const auto& day : section.strings("days")) {
     const auto found = std::ranges::find(kDays, day);
     if (found == kDays.end())
@@ -103,23 +103,25 @@
 }
 
 // What a group gets while the window is in force.
-Schedules::Set Schedules::read_set(yaml::Section& sets, const std::string& path, const Tree& tree) {
+Schedules::GroupChange Schedules::read_change(yaml::Section& changes, const std::string& path,
+                                              const Tree& tree) {
   const auto* group = tree.find(path);
-  if (group == nullptr) sets.fail(path, "expected the path of a group");
-  auto values = sets.section(path);
-  Set set{.to = {.path = path, .weight = {}, .min_threads = {}, .max_threads = {}},
-          .weight = group->weight,
-          .min_threads = group->min_threads,
-          .max_threads = group->max_threads};
-  if (values.has("weight")) set.to.weight = values.number("weight", kMinWeight, kMaxWeight);
-  if (values.has("min_threads")) set.to.min_threads = values.number("min_threads", 0, kMaxThreads);
-  if (values.has("max_threads")) set.to.max_threads = values.number("max_threads", 0, kMaxThreads);
-  if (!set.to.weight && !set.to.min_threads && !set.to.max_threads)
-    sets.fail(path, "expected weight, min_threads or max_threads");
-  if (set.to.min_threads.value_or(set.min_threads) > set.to.max_threads.value_or(set.max_threads))
+  if (group == nullptr) changes.fail(path, "expected the path of a group");
+  auto values = changes.section(path);
+  GroupChange change{.target = {.path = path, .weight = {}, .min_threads = {}, .max_threads = {}},
+                     .weight = group->weight,
+                     .min_threads = group->min_threads,
+                     .max_threads = group->max_threads};
+  if (values.has("weight")) change.target.weight = values.number("weight", kMinWeight, kMaxWeight);
+  if (values.has("min_threads")) change.target.min_threads = values.number("min_threads", 0, kMaxThreads);
+  if (values.has("max_threads")) change.target.max_threads = values.number("max_threads", 0, kMaxThreads);
+  if (!change.target.weight && !change.target.min_threads && !change.target.max_threads)
+    changes.fail(path, "expected weight, min_threads or max_threads");
+  if (change.target.min_threads.value_or(change.min_threads) >
+      change.target.max_threads.value_or(change.max_threads))
     values.fail("min_threads", "expected at most max_threads");
   values.close();
-  return set;
+  return change;
 }
 
 Schedules::Window Schedules::read_window(yaml::Section& section, const Tree& tree) {
@@ -132,7 +134,7 @@
   if (window.ramp > kDay) section.fail("ramp", "expected at most 24h");
   auto sets = section.section("set");
   if (sets.keys().empty()) section.fail("set", "expected groups with what they get");
-  for (const auto& path : sets.keys()) window.sets.push_back(read_set(sets, path, tree));
+  for (const auto& path : sets.keys()) window.changes.push_back(read_change(sets, path, tree));
   sets.close();
   section.close();
   return window;
@@ -155,7 +157,7 @@
     const double reached = part(std::min(unix, to) - from);
     return unix < to ? reached : reached * (1 - part(unix - to));
   };
-  if (window.once) return within(unix_of(*window.zone, window.from), unix_of(*window.zone, window.to));
+  if (window.one_time) return within(unix_of(*window.zone, window.from), unix_of(*window.zone, window.to));
   const auto local = window.zone->to_local(date::sys_time<Time>(unix)).time_since_epoch();
   const auto today = date::floor<date::days>(local);
   double most = 0;
@@ -170,19 +172,22 @@
   return most;
 }
 
-std::vector<Shares::Override> Schedules::at(Time unix) const {
+std::vector<Shares::Override> Schedules::overrides_at(Time unix) const {
   std::map<std::string, Shares::Override> by_path;
   for (const auto& window : windows_) {
     const double part = level(window, unix);
     if (part <= 0) continue;
-    for (const auto& set : window.sets) {
-      auto& one = by_path[set.to.path];
-      one.path = set.to.path;
-      if (set.to.weight) one.weight = between(one.weight.value_or(set.weight), *set.to.weight, part);
-      if (set.to.min_threads)
-        one.min_threads = between(one.min_threads.value_or(set.min_threads), *set.to.min_threads, part);
-      if (set.to.max_threads)
-        one.max_threads = between(one.max_threads.value_or(set.max_threads), *set.to.max_threads, part);
+    for (const auto& change : window.changes) {
+      auto& one = by_path[change.target.path];
+      one.path = change.target.path;
+      if (change.target.weight)
+        one.weight = interpolate(one.weight.value_or(change.weight), *change.target.weight, part);
+      if (change.target.min_threads)
+        one.min_threads =
+            interpolate(one.min_threads.value_or(change.min_threads), *change.target.min_threads, part);
+      if (change.target.max_threads)
+        one.max_threads =
+            interpolate(one.max_threads.value_or(change.max_threads), *change.target.max_threads, part);
     }
   }
   std::vector<Shares::Override> all;
@@ -191,7 +196,7 @@
   return all;
 }
 
-std::vector<std::string> Schedules::in_force(Time unix) const {
+std::vector<std::string> Schedules::active_names(Time unix) const {
   std::vector<std::string> names;
   for (const auto& window : windows_) {
     const double part = level(window, unix);
--- a/src/groups/schedule.hpp
+++ b/src/groups/schedule.hpp
@@ -32,30 +32,30 @@
 
   // What is in force at a moment of the wall clock, since 1970 UTC. Of two windows that set the same, the one
   // written later holds.
-  [[nodiscard]] std::vector<Shares::Override> at(Time unix) const;
+  [[nodiscard]] std::vector<Shares::Override> overrides_at(Time unix) const;
   // For people: the names of those in force, "nights" or, within a ramp, "nights 40%".
-  [[nodiscard]] std::vector<std::string> in_force(Time unix) const;
+  [[nodiscard]] std::vector<std::string> active_names(Time unix) const;
   [[nodiscard]] bool empty() const { return windows_.empty(); }
 
  private:
-  struct Set {
-    Shares::Override to;
+  struct GroupChange {
+    Shares::Override target;
     double weight = 1, min_threads = 0, max_threads = 0;  // as the tree has them
   };
   struct Window {
     std::string name;
     const date::time_zone* zone = nullptr;
-    bool once = false;
+    bool one_time = false;
     std::array<bool, 7> days{};  // from Sunday, on which it begins
     Time from{}, to{};           // local: of the day, or, once, since 1970
     Time ramp{};
-    std::vector<Set> sets;
+    std::vector<GroupChange> changes;
   };
   static Window read_window(yaml::Section& section, const Tree& tree);
   static void read_zone(yaml::Section& section, Window& window);
   static void read_times(yaml::Section& section, Window& window);
   static void read_days(yaml::Section& section, Window& window);
-  static Set read_set(yaml::Section& sets, const std::string& path, const Tree& tree);
+  static GroupChange read_change(yaml::Section& changes, const std::string& path, const Tree& tree);
   [[nodiscard]] static double level(const Window& window, Time unix);  // 0 to 1
 
   std::vector<Window> windows_;
--- a/src/groups/selector.cpp
+++ b/src/groups/selector.cpp
@@ -21,7 +21,7 @@
 const std::vector<std::string> kAttributes{"class",     "tenant",  "operation", "field",
                                            "statement", "subject", "tag"};
 
-bool name_char(char c) {
+bool is_name_char(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '_' || c == '-';
 }
 
@@ -38,12 +38,12 @@
 }
 
 // A group's path: names of letters, digits, _ and - between dots.
-bool well_named(std::string_view path) {
+bool is_valid_path(std::string_view path) {
   std::size_t length = 0;
   for (const char c : path) {
     if (c == '.') {
       if (std::exchange(length, 0) == 0) return false;
-    } else if (!name_char(c) || ++length > kMaxNameBytes) {
+    } else if (!is_name_char(c) || ++length > kMaxNameBytes) {
       return false;
     }
   }
@@ -51,7 +51,7 @@
 }
 
 // What the request has of an attribute; those that may be several are all given.
-std::vector<std::string_view> values(const Described& r, std::string_view attribute) {
+std::vector<std::string_view> values(const RequestAttributes& r, std::string_view attribute) {
   const auto one = [](const std::string& text) {
     return text.empty() ? std::vector<std::string_view>{} : std::vector<std::string_view>{text};
   };
@@ -67,13 +67,13 @@
 }  // namespace
 
 // ---- texts and networks --------------------------------------------------------------------------------
-struct Match::Pattern {
+struct TextMatcher::Pattern {
   explicit Pattern(const std::string& text, const RE2::Options& options) : re(text, options) {}
   RE2 re;
 };
 
-Match Match::read(yaml::Section& section, const std::string& key) {
-  Match match;
+TextMatcher TextMatcher::read(yaml::Section& section, const std::string& key) {
+  TextMatcher match;
   using Shape = yaml::Section::Shape;
   switch (section.shape(key)) {
     case Shape::text:
@@ -101,7 +101,7 @@
   section.fail(key, "expected a text, a list of texts, or {pattern: ...}");
 }
 
-bool Match::fits(std::string_view text, std::map<std::string, std::string>& captured) const {
+bool TextMatcher::matches(std::string_view text, std::map<std::string, std::string>& captured) const {
   if (!pattern_) return any_.contains(text);
   const auto& re = pattern_->re;
   std::vector<re2::StringPiece> found(static_cast<std::size_t>(re.NumberOfCapturingGroups()) + 1);
@@ -115,12 +115,12 @@
   return true;
 }
 
-std::string Match::shown() const {
+std::string TextMatcher::description() const {
   if (pattern_) return "/" + pattern_->re.pattern() + "/";
   return fmt::format("{}", fmt::join(any_, " or "));
 }
 
-std::vector<std::string> Match::names() const {
+std::vector<std::string> TextMatcher::capture_names() const {
   std::vector<std::string> all;
   if (pattern_)
     for (const auto& [name, at] : pattern_->re.NamedCapturingGroups()) all.push_back(name);
@@ -147,7 +147,7 @@
   return network;
 }
 
-bool Network::holds(std::string_view address) const {
+bool Network::contains(std::string_view address) const {
   std::string text(address);
   if (!v6 && text.starts_with("::ffff:") && text.find('.') != std::string::npos)
     text.erase(0, 7);  // IPv4 in IPv6
@@ -202,12 +202,12 @@
 }
 
 // The attributes that the rule asks for; they and the names their patterns capture are added to `known`.
-void read_texts(yaml::Section& section, Rule& rule, std::set<std::string>& known) {
+void read_attributes(yaml::Section& section, Rule& rule, std::set<std::string>& known) {
   for (const auto& attribute : kAttributes) {
     if (!section.has(attribute)) continue;
     known.insert(attribute);
-    rule.texts.emplace_back(attribute, Match::read(section, attribute));
-    for (auto& name : rule.texts.back().second.names()) known.insert(std::move(name));
+    rule.attributes.emplace_back(attribute, TextMatcher::read(section, attribute));
+    for (auto& name : rule.attributes.back().second.capture_names()) known.insert(std::move(name));
   }
 }
 
@@ -220,8 +220,8 @@
     auto name = key;
     std::ranges::transform(name, name.begin(),
                            [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c + 32) : c; });
-    rule.headers.emplace_back(name, Match::read(headers, key));
-    for (auto& captured : rule.headers.back().second.names()) known.insert(std::move(captured));
+    rule.headers.emplace_back(name, TextMatcher::read(headers, key));
+    for (auto& captured : rule.headers.back().second.capture_names()) known.insert(std::move(captured));
   }
 }
 
@@ -250,8 +250,9 @@
     const auto placeholder = "${" + name + "}";
     filled.replace(filled.find(placeholder), placeholder.size(), "x");
   }
-  if (!well_named(filled)) section.fail("group", "expected names of letters, digits, _ and - between dots");
-  rule.makes = !names->empty();
+  if (!is_valid_path(filled))
+    section.fail("group", "expected names of letters, digits, _ and - between dots");
+  rule.creates_group = !names->empty();
 }
 
 Rule read_rule(yaml::Section& section, unsigned number, const Tree* tree) {
@@ -259,7 +260,7 @@
   rule.number = number;
   rule.group = section.string("group");
   std::set<std::string> known;
-  read_texts(section, rule, known);
+  read_attributes(section, rule, known);
   read_headers(section, rule, known);
   read_networks(section, rule);
   check_path(section, rule, known);
@@ -276,7 +277,7 @@
   for (auto& one : section.sections("selectors")) all.rules_.push_back(read_rule(one, ++number, tree));
   all.default_ = section.string("default", "");
   if (all.default_.empty()) return all;
-  if (!well_named(all.default_))
+  if (!is_valid_path(all.default_))
     section.fail("default", "expected names of letters, digits, _ and - between dots");
   check_in_tree(section, "default", all.default_, tree);
   return all;
@@ -284,34 +285,35 @@
 
 // ---- choosing ------------------------------------------------------------------------------------------
 // What does not fit; empty: all does.
-std::string Selectors::mismatch(const Rule& rule, const Described& request,
+std::string Selectors::mismatch(const Rule& rule, const RequestAttributes& request,
                                 std::map<std::string, std::string>& captured) const {
   const auto shown = [](std::string_view text) {
     return text.empty() ? std::string("not known") : fmt::format("\"{}\"", text);
   };
-  const auto asks = [&rule](std::string_view attribute) {
-    return std::ranges::any_of(rule.texts, [&](const auto& one) { return one.first == attribute; });
+  const auto has_condition_on = [&rule](std::string_view attribute) {
+    return std::ranges::any_of(rule.attributes, [&](const auto& one) { return one.first == attribute; });
   };
-  if (!request.subject.empty() && !asks("subject") && (!rule.headers.empty() || asks("tag")))
+  if (!request.subject.empty() && !has_condition_on("subject") &&
+      (!rule.headers.empty() || has_condition_on("tag")))
     return fmt::format("subject is \"{}\", beside whom a claim in header or tag does not count",
                        request.subject);
-  for (const auto& [attribute, match] : rule.texts) {
+  for (const auto& [attribute, match] : rule.attributes) {
     const auto all = values(request, attribute);
     const auto found =
-        std::ranges::find_if(all, [&](std::string_view text) { return match.fits(text, captured); });
+        std::ranges::find_if(all, [&](std::string_view text) { return match.matches(text, captured); });
     if (found == all.end())
       return fmt::format("{} is {}, not {}", attribute,
                          all.empty() ? "not known" : fmt::format("\"{}\"", fmt::join(all, "\", \"")),
-                         match.shown());
+                         match.description());
     captured.emplace(attribute, *found);
   }
   for (const auto& [name, match] : rule.headers) {
     const auto text = request.header ? request.header(name) : std::nullopt;
-    if (!text || !match.fits(*text, captured))
-      return fmt::format("header {} is {}, not {}", name, shown(text.value_or("")), match.shown());
+    if (!text || !match.matches(*text, captured))
+      return fmt::format("header {} is {}, not {}", name, shown(text.value_or("")), match.description());
   }
   if (!rule.networks.empty() && std::ranges::none_of(rule.networks, [&](const Network& network) {
-        return network.holds(request.address);
+        return network.contains(request.address);
       }))
     return fmt::format("address {} is in none of its networks", shown(request.address));
   return "";
@@ -324,37 +326,38 @@
   return {names.begin(), names.end()};
 }
 
-Chosen Selectors::named(const Rule& rule, const std::map<std::string, std::string>& captured) const {
-  Chosen chosen{rule.group, rule.number, rule.makes, ""};
+GroupSelection Selectors::fill_in(const Rule& rule,
+                                  const std::map<std::string, std::string>& captured) const {
+  GroupSelection chosen{rule.group, rule.number, rule.creates_group, ""};
   const auto names =
       placeholders(rule.group).value_or(std::vector<std::string>());  // checked when it was read
   for (const auto& name : names) {
     const auto placeholder = "${" + name + "}";
     const auto& text = captured.at(name);
     // One name of a path, never a path of its own: else a client could place itself anywhere in the tree.
-    if (text.empty() || text.size() > kMaxNameBytes || !std::ranges::all_of(text, name_char)) {
-      chosen.why = fmt::format("selector {}: ${{{}}} is \"{}\", which can't be part of a group's name",
-                               rule.number, name, text.substr(0, kMaxNameBytes));
+    if (text.empty() || text.size() > kMaxNameBytes || !std::ranges::all_of(text, is_name_char)) {
+      chosen.reason = fmt::format("selector {}: ${{{}}} is \"{}\", which can't be part of a group's name",
+                                  rule.number, name, text.substr(0, kMaxNameBytes));
       chosen.group.clear();
       return chosen;
     }
     chosen.group.replace(chosen.group.find(placeholder), placeholder.size(), text);
   }
-  if (!well_named(chosen.group))
+  if (!is_valid_path(chosen.group))
     return {"", rule.number, false, fmt::format("selector {}: the group's name is too long", rule.number)};
   return chosen;
 }
 
-Chosen Selectors::choose(const Described& request) const {
+GroupSelection Selectors::choose(const RequestAttributes& request) const {
   for (const auto& rule : rules_) {
     std::map<std::string, std::string> captured;
-    if (mismatch(rule, request, captured).empty()) return named(rule, captured);
+    if (mismatch(rule, request, captured).empty()) return fill_in(rule, captured);
   }
   if (default_.empty()) return {"", 0, false, "no selector matches, and there is no default group"};
   return {default_, 0, false, ""};
 }
 
-std::string Selectors::explain(const Described& request) const {
+std::string Selectors::explain(const RequestAttributes& request) const {
   std::string out;
   for (const auto& rule : rules_) {
     std::map<std::string, std::string> captured;
@@ -363,19 +366,19 @@
       out += fmt::format("selector {}: {}\n", rule.number, wrong);
       continue;
     }
-    const auto chosen = named(rule, captured);
+    const auto chosen = fill_in(rule, captured);
     return out + (chosen.group.empty()
-                      ? chosen.why + "\nrefused\n"
+                      ? chosen.reason + "\nrefused\n"
                       : fmt::format("selector {}: all fits\ngroup {}\n", rule.number, chosen.group));
   }
   const auto chosen = choose(request);
   return out + (chosen.group.empty()
-                    ? chosen.why + "\nrefused\n"
+                    ? chosen.reason + "\nrefused\n"
                     : fmt::format("no selector matches: the default\ngroup {}\n", chosen.group));
 }
 
 // ---- groups that templates make ------------------------------------------------------------------------
-bool Made::enter(Time now, const std::string& group) {
+bool OnDemandGroups::enter(Time now, const std::string& group) {
   const auto found = groups_.find(group);
   if (found == groups_.end()) {
     if (groups_.size() >= most_) (void)sweep(now);
@@ -383,27 +386,27 @@
     groups_[group].requests = 1;
     return true;
   }
-  if (found->second.requests++ == 0) idlers_.erase({found->second.since, group});
+  if (found->second.requests++ == 0) idle_since_.erase({found->second.since, group});
   return true;
 }
 
-void Made::leave(Time now, const std::string& group) {
+void OnDemandGroups::leave(Time now, const std::string& group) {
   const auto found = groups_.find(group);
   if (found == groups_.end() || found->second.requests == 0) return;
   --found->second.requests;
   if (found->second.requests > 0) return;
   found->second.since = now;
-  idlers_.emplace(now, group);
+  idle_since_.emplace(now, group);
 }
 
-std::vector<std::string> Made::sweep(Time now) {
-  std::vector<std::string> gone;
-  while (!idlers_.empty() && idlers_.begin()->first + idle_ <= now) {
-    gone.push_back(idlers_.begin()->second);
-    groups_.erase(gone.back());
-    idlers_.erase(idlers_.begin());
+std::vector<std::string> OnDemandGroups::sweep(Time now) {
+  std::vector<std::string> removed;
+  while (!idle_since_.empty() && idle_since_.begin()->first + idle_ <= now) {
+    removed.push_back(idle_since_.begin()->second);
+    groups_.erase(removed.back());
+    idle_since_.erase(idle_since_.begin());
   }
-  return gone;
+  return removed;
 }
 
 }  // namespace heronwell::groups
--- a/src/groups/selector.hpp
+++ b/src/groups/selector.hpp
@@ -27,7 +27,7 @@
 namespace heronwell::groups {
 
 // What is known of a request. Empty texts: not known.
-struct Described {
+struct RequestAttributes {
   std::string cls, tenant;
   std::string operation;                 // GraphQL operation's name
   std::vector<std::string> root_fields;  // of its document
@@ -42,15 +42,15 @@
 std::string first_word(std::string_view statement);
 
 // A text against one text, a set of them, or a pattern (RE2: linear in the text) that matches all of it.
-class Match {
+class TextMatcher {
  public:
   // Throws yaml::Error with the place. Scalar: exactly it; list: one of them; {pattern: "..."}: RE2.
-  static Match read(yaml::Section& section, const std::string& key);
+  static TextMatcher read(yaml::Section& section, const std::string& key);
 
   // `captured`: texts of a pattern's named groups, added.
-  [[nodiscard]] bool fits(std::string_view text, std::map<std::string, std::string>& captured) const;
-  [[nodiscard]] std::string shown() const;
-  [[nodiscard]] std::vector<std::string> names() const;  // of a pattern's named groups
+  [[nodiscard]] bool matches(std::string_view text, std::map<std::string, std::string>& captured) const;
+  [[nodiscard]] std::string description() const;
+  [[nodiscard]] std::vector<std::string> capture_names() const;  // of a pattern's named groups
 
  private:
   struct Pattern;
@@ -63,25 +63,26 @@
   unsigned bits = 0;  // that count
   bool v6 = false;
   static std::optional<Network> read(std::string_view text);  // "10.0.0.0/8", "2001:db8::/32", or one address
-  [[nodiscard]] bool holds(std::string_view address) const;
+  [[nodiscard]] bool contains(std::string_view address) const;
 };
 
 // What a client only claims (header fields, tags) counts where nobody has authenticated it, or where the rule
 // also names the subject: no client takes another's place by a claim.
 struct Rule {
-  unsigned number = 0;                               // from 1, as written
-  std::vector<std::pair<std::string, Match>> texts;  // by attribute: class, tenant, operation, field ...
-  std::vector<std::pair<std::string, Match>> headers;
+  unsigned number = 0;  // from 1, as written
+  std::vector<std::pair<std::string, TextMatcher>>
+      attributes;  // by attribute: class, tenant, operation, field ...
+  std::vector<std::pair<std::string, TextMatcher>> headers;
   std::vector<Network> networks;
-  std::string group;   // path, with ${name} for attributes and captures
-  bool makes = false;  // it has some: the group is made on demand
+  std::string group;           // path, with ${name} for attributes and captures
+  bool creates_group = false;  // it has some: the group is made on demand
 };
 
-struct Chosen {
-  std::string group;  // path; empty: none, and `why` tells
-  unsigned rule = 0;  // 0: the default
-  bool made = false;  // a template named it
-  std::string why;
+struct GroupSelection {
+  std::string group;           // path; empty: none, see `reason`
+  unsigned rule = 0;           // 0: the default
+  bool from_template = false;  // the path was filled in from a template
+  std::string reason;
 };
 
 class Selectors {
@@ -91,26 +92,27 @@
   // have children, and templates without a parent in it.
   static Selectors read(yaml::Section& section, const Tree* tree = nullptr);
 
-  [[nodiscard]] Chosen choose(const Described& request) const;
+  [[nodiscard]] GroupSelection choose(const RequestAttributes& request) const;
   // For people: each rule up to the one that matched, and what did not fit.
-  [[nodiscard]] std::string explain(const Described& request) const;
+  [[nodiscard]] std::string explain(const RequestAttributes& request) const;
   [[nodiscard]] const std::vector<Rule>& rules() const { return rules_; }
   // Names of the header fields that rules look at, in lower case.
   [[nodiscard]] std::vector<std::string> headers() const;
 
  private:
-  [[nodiscard]] std::string mismatch(const Rule& rule, const Described& request,
+  [[nodiscard]] std::string mismatch(const Rule& rule, const RequestAttributes& request,
                                      std::map<std::string, std::string>& captured) const;
-  [[nodiscard]] Chosen named(const Rule& rule, const std::map<std::string, std::string>& captured) const;
+  [[nodiscard]] GroupSelection fill_in(const Rule& rule,
+                                       const std::map<std::string, std::string>& captured) const;
 
   std::vector<Rule> rules_;
   std::string default_;
 };
 
 // Groups that templates make on demand: at most so many, gone once idle for so long.
-class Made {
+class OnDemandGroups {
  public:
-  Made(std::size_t most, Time idle) : most_(most), idle_(idle) {}
+  OnDemandGroups(std::size_t most, Time idle) : most_(most), idle_(idle) {}
 
   // A request enters the group; false: as many groups as may be made exist, and the request must be
   // rejected.
@@ -128,7 +130,7 @@
   std::size_t most_;
   Time idle_;
   std::map<std::string, Use> groups_;
-  std::set<std::pair<Time, std::string>> idlers_;
+  std::set<std::pair<Time, std::string>> idle_since_;
 };
 
 }  // namespace heronwell::groups
--- a/src/groups/share_context.hpp
+++ b/src/groups/share_context.hpp
@@ -30,7 +30,7 @@
 struct ShareContext {
   ShareSettings settings;
   std::vector<ClassFacts> classes;
-  unsigned widest_query = 1;        // threads, of all classes
+  unsigned max_query_threads = 1;   // threads, of all classes
   Time now{};                       // never falls
   double pool_threads = 1;          // of this router
   double fleet_threads = 1;         // of this router and those whose gossip is recent, taken to be alike
--- a/src/groups/share_gossip.cpp
+++ b/src/groups/share_gossip.cpp
@@ -37,7 +37,7 @@
 }  // namespace
 
 void ShareGossip::begin(Time now) {
-  if (sums_begun_ == 0) sums_begun_ = static_cast<std::uint64_t>(now.count()) | 1;
+  if (sums_epoch_ == 0) sums_epoch_ = static_cast<std::uint64_t>(now.count()) | 1;
 }
 
 void ShareGossip::add_group(GroupNumber group) {
@@ -47,10 +47,10 @@
 void ShareGossip::remove_group(GroupNumber group) {
   const auto& node = nodes_[group];
   by_hash_.erase(hash_of(node.settings.path));
-  changed_.erase({node.gossiped_at, group});
+  changed_.erase({node.last_gossip_message, group});
 }
 
-void ShareGossip::forget_groups() {
+void ShareGossip::clear_groups() {
   by_hash_.clear();
   changed_.clear();
 }
@@ -62,13 +62,13 @@
 
 std::string ShareGossip::next_message() {
   std::string text(1, kFirstByte);
-  put_u64(text, sums_begun_);
+  put_u64(text, sums_epoch_);
   ++messages_sent_;
   while (!changed_.empty() && text.size() + kEntryBytes <= kMaxMessageBytes) {
     const auto group = changed_.begin()->second;
     changed_.erase(changed_.begin());
     auto& node = nodes_[group];
-    node.gossiped_at = messages_sent_;
+    node.last_gossip_message = messages_sent_;
     put_number(text, hash_of(node.settings.path));
     put_number(text,
                static_cast<std::uint64_t>(std::max(0.0, node.share.used_here) * kMillisecondsPerSecond));
@@ -86,9 +86,9 @@
   std::vector<Used> used;
   if (!well_formed(bytes)) return used;
   ByteReader in(bytes.substr(1));
-  const auto begun = in.u64();
+  const auto epoch = in.u64();
   auto& sender = received_[from];
-  if (sender.begun != begun) sender = {begun, {}, {}};
+  if (sender.epoch != epoch) sender = {epoch, {}, {}};
   sender.last = context_.now;
   while (!in.done()) {
     const auto hash = in.number(kNumberBytes);
--- a/src/groups/share_gossip.hpp
+++ b/src/groups/share_gossip.hpp
@@ -36,9 +36,9 @@
   void begin(Time now);
   void add_group(GroupNumber group);
   void remove_group(GroupNumber group);
-  void forget_groups();
+  void clear_groups();
   // The engine time used here by the leaf has changed.
-  void changed(GroupNumber leaf) { changed_.insert({nodes_[leaf].gossiped_at, leaf}); }
+  void changed(GroupNumber leaf) { changed_.insert({nodes_[leaf].last_gossip_message, leaf}); }
 
   std::vector<std::string> messages(std::size_t most);
   struct Used {
@@ -52,7 +52,7 @@
 
  private:
   struct Received {
-    std::uint64_t begun = 0;
+    std::uint64_t epoch = 0;
     Time last{};
     std::map<std::uint64_t, std::uint64_t> sums;  // by the hash of a path, thread-milliseconds
   };
@@ -64,7 +64,7 @@
   std::set<std::pair<std::uint64_t, GroupNumber>> changed_;  // by the message that last carried the group
   std::map<std::uint32_t, Received> received_;               // by router
   std::uint64_t messages_sent_ = 0;
-  std::uint64_t sums_begun_ = 0;  // 0: not yet
+  std::uint64_t sums_epoch_ = 0;  // 0: not yet
 };
 
 }  // namespace heronwell::groups
--- a/src/groups/share_settings.cpp
+++ b/src/groups/share_settings.cpp
@@ -29,7 +29,7 @@
   settings.credit = span("credit", settings.credit, kMaxCredit);
   settings.debt = span("debt", settings.debt, kMaxDebt);
   settings.fade = span("fade", settings.fade, kMaxFade);
-  settings.most_made = section.count("most_made", settings.most_made, 0, Tree::kMost);
+  settings.most_made = section.count("most_made", settings.most_made, 0, Tree::kMaxGroups);
   settings.made_idle = span("made_idle", settings.made_idle, kMaxMadeIdle);
   return settings;
 }
--- a/src/groups/shares.cpp
+++ b/src/groups/shares.cpp
@@ -16,13 +16,14 @@
 
 // Without a call for so long, this router itself stood still. Several ticks of the decision engine, less than
 // the default patience: a router that was suspended does not pass a group by for it.
-constexpr Time kStandstill = 200ms;
+constexpr Time kMaxCallGap = 200ms;
 
 ShareContext context_of(ShareSettings settings, std::vector<ClassFacts> classes) {
   ShareContext context;
   context.settings = settings;
   context.classes = std::move(classes);
-  for (const auto& cls : context.classes) context.widest_query = std::max(context.widest_query, cls.threads);
+  for (const auto& cls : context.classes)
+    context.max_query_threads = std::max(context.max_query_threads, cls.threads);
   return context;
 }
 
@@ -34,9 +35,9 @@
 }
 
 // ---- time and engine time --------------------------------------------------------------------------------
-void Shares::at(Time now, double pool) {
-  if (now > context_.now + kStandstill && context_.now > Time::zero())
-    dispatch_.stood_still(now - context_.now);
+void Shares::advance_time(Time now, double pool) {
+  if (now > context_.now + kMaxCallGap && context_.now > Time::zero())
+    dispatch_.exclude_pause(now - context_.now);
   context_.now = std::max(now, context_.now);
   context_.pool_threads = pool;
   context_.fleet_threads = std::max(1.0, pool) * static_cast<double>(1 + gossip_.live_routers());
@@ -67,14 +68,14 @@
   if (used_by == UsedBy::this_router) gossip_.changed(leaf);
 }
 
-void Shares::hear(std::uint32_t from, std::string_view bytes) {
+void Shares::receive_gossip(std::uint32_t from, std::string_view bytes) {
   for (const auto& used : gossip_.receive(from, bytes))
     charge(used.leaf, used.thread_seconds, UsedBy::other_router);
 }
 
 // ---- requests --------------------------------------------------------------------------------------------
-Limit Shares::enter(RequestId id, std::string_view path, bool made, const Query& query) {
-  const auto place = directory_.place(path, made);
+Limit Shares::admit(RequestId id, std::string_view path, bool from_template, const Query& query) {
+  const auto place = directory_.place(path, from_template);
   const auto limit = place.limit == Limit::none ? limits_.check(place.group, query) : place.limit;
   if (limit != Limit::none) {
     limits_.count_rejected(place.group, limit);
@@ -84,7 +85,7 @@
   request.node = place.group;
   request.query = query;
   request.arrival = ++arrivals_;
-  request.wait_until = std::min(request.wait_until, limits_.wait_deadline(place.group));
+  request.wait_deadline = std::min(request.wait_deadline, limits_.wait_deadline(place.group));
   shares_.count_request(place.group);
   enqueue(id, request);
   return Limit::none;
@@ -92,7 +93,7 @@
 
 void Shares::enqueue(RequestId id, GroupRequest& request) {
   request.waiting = true;
-  limits_.watch_wait(id, request.wait_until);
+  limits_.watch_wait(id, request.wait_deadline);
   order_.push(request.node, request.query.cls, request.arrival, id);
   for (auto group = request.node;; group = nodes_[group].parent) {
     const bool begins = order_.count_queued(group);
@@ -112,7 +113,7 @@
 
 void Shares::dequeue(RequestId id, GroupRequest& request) {
   if (!std::exchange(request.waiting, false)) return;
-  limits_.forget_wait(id, request.wait_until);
+  limits_.unwatch_wait(id, request.wait_deadline);
   order_.remove(request.node, request.query.cls, request.arrival, id);
   for (auto group = request.node; group != kRootGroup; group = nodes_[group].parent)
     if (nodes_[group].queue.queued == 0) shares_.note_idle(group);
@@ -130,13 +131,13 @@
   limits_.add_running(request.node, request.query);
   if (waited) {
     dispatch_.started(request.node);
-    request.run_until = std::min(request.run_until, limits_.run_deadline(request.node));
+    request.run_deadline = std::min(request.run_deadline, limits_.run_deadline(request.node));
   }
-  limits_.watch_run(id, request.run_until);
+  limits_.watch_run(id, request.run_deadline);
   charge(request.node, cost, UsedBy::this_router);
 }
 
-void Shares::ended(RequestId id, std::size_t attempt, bool ran) {
+void Shares::attempt_ended(RequestId id, std::size_t attempt, bool ran) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || attempt >= found->second.in_flight.size()) return;
   auto& request = found->second;
@@ -152,35 +153,35 @@
   if (ran) costs_.learn(request.query, used);
   if (request.running()) return;
   running_.erase(id);
-  limits_.forget_run(id, request.run_until);
-  request.run_until = Time::max();
-  if (request.settled) erase_request(id);
+  limits_.unwatch_run(id, request.run_deadline);
+  request.run_deadline = Time::max();
+  if (request.finished) erase_request(id);
 }
 
-void Shares::waits(RequestId id) {
+void Shares::request_requeued(RequestId id) {
   const auto found = requests_.find(id);
-  if (found != requests_.end() && !found->second.waiting && !found->second.settled)
+  if (found != requests_.end() && !found->second.waiting && !found->second.finished)
     enqueue(id, found->second);
 }
 
-void Shares::settled(RequestId id) {
+void Shares::request_finished(RequestId id) {
   const auto found = requests_.find(id);
   if (found == requests_.end()) return;
   auto& request = found->second;
-  request.settled = true;
+  request.finished = true;
   dequeue(id, request);
-  limits_.forget_run(id, request.run_until);
+  limits_.unwatch_run(id, request.run_deadline);
   if (!request.running()) erase_request(id);
 }
 
 void Shares::erase_request(RequestId id) {
   const auto leaf = requests_.at(id).node;
   requests_.erase(id);
-  shares_.discount_request(leaf);
+  shares_.uncount_request(leaf);
   directory_.remove_if_unused(leaf);
 }
 
-std::vector<Shares::Over> Shares::over() {
+std::vector<OverdueRequest> Shares::take_overdue() {
   auto overdue = limits_.take_overdue();
   for (const auto& one : overdue) limits_.count_rejected(requests_.at(one.request).node, one.limit);
   return overdue;
--- a/src/groups/shares.hpp
+++ b/src/groups/shares.hpp
@@ -43,17 +43,18 @@
 
   // ---- called by the request registry, before the decision engine learns of it ----------------------------
   // A `now` before the last one counts as that; `pool`: threads of this router.
-  void at(Time now, double pool);
+  void advance_time(Time now, double pool);
   // Admits a request, which is queued; or names the limit for which it is rejected. `made`: a template named
   // the group, which may be made.
-  Limit enter(RequestId id, std::string_view path, bool made, const Query& query);
-  void ended(RequestId id, std::size_t attempt, bool ran);  // one attempt, by the number of its start
-  void waits(RequestId id);                                 // queued again, after an attempt
-  void settled(RequestId id);                               // has its final answer
+  Limit admit(RequestId id, std::string_view path, bool from_template, const Query& query);
+  void attempt_ended(RequestId id, std::size_t attempt, bool ran);  // one attempt, by the number of its start
+  void request_requeued(RequestId id);                              // queued again, after an attempt
+  void request_finished(RequestId id);                              // has its final answer
   // Requests past their group's longest wait or run time: to be timed out. Each is returned once.
-  using Over = OverdueRequest;
-  std::vector<Over> over();
-  [[nodiscard]] Time next_due() const { return limits_.next_deadline(); }  // of over(); Time::max(): never
+  std::vector<OverdueRequest> take_overdue();
+  [[nodiscard]] Time next_deadline() const {
+    return limits_.next_deadline();
+  }  // of take_overdue(); Time::max(): never
 
   // ---- called by the decision engine ----------------------------------------------------------------------
   const std::vector<RequestId>& next_requests(ClassIndex cls) override {
@@ -71,27 +72,27 @@
     std::optional<double> weight, min_threads, max_threads;
     bool operator==(const Override&) const = default;
   };
-  void adjust(const std::vector<Override>& overrides);
+  void set_overrides(const std::vector<Override>& overrides);
 
   // ---- other routers --------------------------------------------------------------------------------------
-  static constexpr std::size_t kMessage = ShareGossip::kMaxMessageBytes;
-  static constexpr char kMark = ShareGossip::kFirstByte;
+  static constexpr std::size_t kMaxGossipBytes = ShareGossip::kMaxMessageBytes;
+  static constexpr char kGossipFirstByte = ShareGossip::kFirstByte;
   // At most so many messages about groups whose engine time has changed, those not sent for longest first.
-  std::vector<std::string> tell(std::size_t most) { return gossip_.messages(most); }
+  std::vector<std::string> gossip_messages(std::size_t most) { return gossip_.messages(most); }
   // Ignores a message that is malformed. The first one of a router, or of one restarted, charges nothing.
-  void hear(std::uint32_t from, std::string_view bytes);
+  void receive_gossip(std::uint32_t from, std::string_view bytes);
 
   // ---- views ----------------------------------------------------------------------------------------------
   // All groups, parents before children, siblings in the order written.
   [[nodiscard]] std::vector<GroupView> view() const;
   // The same in pieces, see GroupViews::scan; reload() makes all earlier numbers void.
-  using Number = GroupNumber;
-  bool view_some(Number& next, std::size_t most, std::vector<GroupView>& out) const {
+  using ViewCursor = GroupNumber;
+  bool scan_views(ViewCursor& next, std::size_t most, std::vector<GroupView>& out) const {
     return views_.scan(next, most, out);
   }
   [[nodiscard]] std::size_t requests() const { return requests_.size(); }
   // Every sum against what it is the sum of; "": all agree.
-  [[nodiscard]] std::string inconsistency() const;
+  [[nodiscard]] std::string find_inconsistency() const;
 
  private:
   // ---- shares.cpp: requests ----
--- a/src/groups/shares_consistency.cpp
+++ b/src/groups/shares_consistency.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-std::string Shares::inconsistency() const {
+std::string Shares::find_inconsistency() const {
   Sums sums;
   sums.queued.resize(nodes_.size());
   sums.requests.resize(nodes_.size());
--- a/src/groups/shares_reload.cpp
+++ b/src/groups/shares_reload.cpp
@@ -5,7 +5,7 @@
 // the requests again in order of arrival. Requests of groups that have no place go to the group "removed".
 // Failure: a reload under load that rejects or forgets queued requests, or lets a group that owes begin at
 // zero; it shows as time-outs and as a share that jumps after each change. Guard: requests and debts are
-// carried over completely, `inconsistency` holds after each reload (shares_test).
+// carried over completely, `find_inconsistency` holds after each reload (shares_test).
 #include <algorithm>
 #include <numeric>
 #include <utility>
@@ -19,7 +19,7 @@
   const auto requests = std::exchange(requests_, {});
   tree_ = std::move(tree);
   running_.clear();
-  limits_.forget_deadlines();
+  limits_.clear_deadlines();
   directory_.build(tree_);
 
   std::vector<GroupNumber> by_depth(old.size());
@@ -31,7 +31,7 @@
   carry_over(requests, places);
   for (GroupNumber group = 1; group < nodes_.size(); ++group) order_.rekey(group);
   const auto overrides = std::exchange(overrides_, {});
-  adjust(overrides);
+  set_overrides(overrides);
 }
 
 // Where old groups are now; none: removed. Parents before children, since made groups follow their parents.
@@ -39,7 +39,7 @@
   std::map<std::string, GroupNumber, std::less<>> by_old_path;
   for (GroupNumber group = 1; group < nodes_.size(); ++group) {
     const auto& settings = nodes_[group].settings;
-    by_old_path[settings.was.empty() ? settings.path : settings.was] = group;
+    by_old_path[settings.previous_path.empty() ? settings.path : settings.previous_path] = group;
   }
   Places places(old.size());
   places[kRootGroup] = kRootGroup;
@@ -50,7 +50,7 @@
     const auto& parent_place = places[before.parent];
     if (found != by_old_path.end()) {
       places[group] = found->second;
-    } else if (before.made && before.settings.path != kRemovedGroup && parent_place) {
+    } else if (before.on_demand && before.settings.path != kRemovedGroup && parent_place) {
       auto path = nodes_[*parent_place].settings.path;
       if (!path.empty()) path += '.';
       path += before.settings.name;
@@ -95,7 +95,7 @@
     if (place && nodes_[*place].leaf()) {
       resume(id, request, *place);
     } else {
-      resume(id, request, directory_.place_of_removed());
+      resume(id, request, directory_.removed_group());
     }
   }
 }
@@ -105,7 +105,7 @@
   request.node = leaf;
   request.waiting = false;
   shares_.count_request(leaf);
-  if (!request.settled) limits_.watch_run(id, request.run_until);
+  if (!request.finished) limits_.watch_run(id, request.run_deadline);
   if (request.running()) running_.insert(id);
   for (const auto& attempt : request.in_flight)
     if (!attempt.ended) limits_.add_running(leaf, request.query);
@@ -132,7 +132,7 @@
   apply({.path = change.path, .weight = {}, .min_threads = {}, .max_threads = {}});
 }
 
-void Shares::adjust(const std::vector<Override>& overrides) {
+void Shares::set_overrides(const std::vector<Override>& overrides) {
   if (overrides == overrides_) return;
   for (const auto& change : overrides_) revert(change);
   overrides_ = overrides;
--- a/src/groups/sibling_order.hpp
+++ b/src/groups/sibling_order.hpp
@@ -8,7 +8,7 @@
 // Inputs: queued requests, running threads, virtual times. Output: `waiting` and `key` of each group.
 // Failure: a key that changes while it stands in a set is not found again, and its group is never offered or
 // offered without requests. Guard: the key is kept in the group and changes only in `rekey`, which moves its
-// entries in the same step; `Shares::inconsistency` checks both ways.
+// entries in the same step; `Shares::find_inconsistency` checks both ways.
 #pragma once
 
 #include "groups/group_node.hpp"
--- a/src/groups/tree.cpp
+++ b/src/groups/tree.cpp
@@ -54,8 +54,8 @@
     if (found == nullptr) return nullptr;
     parent = index(*found);
   }
-  if (!valid_name(name) || find(path) != nullptr || groups_.size() >= kMost ||
-      groups_[parent].depth + 1 > kDeepest)
+  if (!valid_name(name) || find(path) != nullptr || groups_.size() >= kMaxGroups ||
+      groups_[parent].depth + 1 > kMaxDepth)
     return nullptr;
   return &groups_[append(parent, std::string(name))];
 }
@@ -71,13 +71,13 @@
   double minima = 0;
   for (auto& [name, one] : section.named("groups")) {
     if (!valid_name(name)) one.fail("", "expected a name of at most 64 letters, digits, _ and -");
-    if (groups_[parent].depth + 1 > kDeepest)
-      one.fail("", fmt::format("expected at most {} levels", kDeepest));
-    if (groups_.size() >= kMost) one.fail("", fmt::format("expected at most {} groups", kMost));
+    if (groups_[parent].depth + 1 > kMaxDepth)
+      one.fail("", fmt::format("expected at most {} levels", kMaxDepth));
+    if (groups_.size() >= kMaxGroups) one.fail("", fmt::format("expected at most {} groups", kMaxGroups));
     const auto number = append(parent, name);
     auto& group = groups_[number];
     group.policy = static_cast<Policy>(one.choice("policy", kPolicies, 0));
-    group.was = one.string("was", "");
+    group.previous_path = one.string("was", "");
     group.weight = one.number("weight", 1, kMinWeight, kMaxWeight);
     group.min_threads = one.number("min_threads", 0, 0, kMaxThreads);
     if (one.has("max_threads")) group.max_threads = one.number("max_threads", 0, kMaxThreads);
--- a/src/groups/tree.hpp
+++ b/src/groups/tree.hpp
@@ -21,8 +21,8 @@
 enum class Policy { fair, strict, first_come };  // among children: by weight; in the order written; by demand
 
 struct Group {
-  std::string name, path;  // path: names between dots, without the root's
-  std::string was;         // its path before a reload moved or renamed it; "": the same
+  std::string name, path;     // path: names between dots, without the root's
+  std::string previous_path;  // its path before a reload moved or renamed it; "": the same
   std::size_t parent = 0;
   std::vector<std::size_t> children;  // in the order written
   unsigned depth = 0;                 // of the root 0
@@ -40,9 +40,9 @@
 class Tree {
  public:
   // Levels below the root. Each start and end of a query visits all levels of its group.
-  static constexpr unsigned kDeepest = 32;
+  static constexpr unsigned kMaxDepth = 32;
   // Groups. Beyond what people write; bounds the memory and the time of a reload.
-  static constexpr std::size_t kMost = 100'000;
+  static constexpr std::size_t kMaxGroups = 100'000;
 
   // Reads "groups" of a section. Throws yaml::Error: names, ranges, minima that sum to more than their
   // parent's ceiling, too deep, too many.
--- a/src/path/decision_loop.cpp
+++ b/src/path/decision_loop.cpp
@@ -138,9 +138,9 @@
 void DecisionLoop::apply_schedules() {
   auto& shares = *registry_.groups();
   const auto unix = environment_.now() + environment_.unix_offset();
-  shares.at(environment_.now(), registry_.decision_engine().pool_threads());
-  shares.adjust(schedules_->at(unix));
-  auto in_force = schedules_->in_force(unix);
+  shares.advance_time(environment_.now(), registry_.decision_engine().pool_threads());
+  shares.set_overrides(schedules_->overrides_at(unix));
+  auto in_force = schedules_->active_names(unix);
   if (in_force == schedules_in_force_) return;
   metrics_.groups_schedules->Increment();
   environment_.log(Level::info,
@@ -159,7 +159,7 @@
     metrics_.begin_groups();
   }
   std::vector<groups::GroupView> views;
-  const bool more = registry_.groups()->view_some(next_group_, kGroupsPerRefresh, views);
+  const bool more = registry_.groups()->scan_views(next_group_, kGroupsPerRefresh, views);
   for (const auto& group : views) {
     append_group_view(group);
     metrics_.count_group(group);
@@ -175,7 +175,7 @@
   groups_json_ += fmt::format(
       R"({}{{"path":{},"depth":{},"made":{},"weight":{:.4g},"share_set":{:.4f},"share_got":{:.4f},"lent":{:.4f},"engine_seconds":{:.3f},"told_seconds":{:.3f},"queued":{},"running_threads":{},"refused":{{)",
       group.depth > 0 ? "," : "", quoted(group.path), group.depth, group.made, group.weight, group.share_set,
-      group.share_got, group.lent, group.used_s, group.heard_s, group.queued, group.running);
+      group.share_got, group.lent, group.used_s, group.used_elsewhere_s, group.queued, group.running);
   bool first = true;
   for (const auto& [limit, count] : group.refused) {
     groups_json_ += fmt::format(R"({}"{}":{})", first ? "" : ",", limit, count);
@@ -189,7 +189,7 @@
     auto section = yaml::Section::text(text, config_.groups->file);
     auto plan = groups::Plan::read(section);
     const auto before = registry_.groups()->requests();
-    registry_.groups()->at(environment_.now(), registry_.decision_engine().pool_threads());
+    registry_.groups()->advance_time(environment_.now(), registry_.decision_engine().pool_threads());
     registry_.groups()->reload(std::move(plan.tree));
     schedules_ = std::move(plan.schedules);
     const SelectorsPtr selectors = std::make_shared<const groups::Selectors>(std::move(plan.selectors));
--- a/src/path/decision_loop.hpp
+++ b/src/path/decision_loop.hpp
@@ -75,8 +75,8 @@
   std::function<void()> on_ready_;
   Time max_lag_{};  // of an event until it was taken in, since the metrics were updated
   std::vector<std::string> schedules_in_force_;
-  groups::Shares::Number next_group_ = 0;  // of refresh_group_views()
-  std::string groups_json_;                // as far as refresh_group_views() has come
+  groups::Shares::ViewCursor next_group_ = 0;  // of refresh_group_views()
+  std::string groups_json_;                    // as far as refresh_group_views() has come
   std::optional<groups::Schedules> schedules_;
 };
 
--- a/src/path/grouping.cpp
+++ b/src/path/grouping.cpp
@@ -20,9 +20,9 @@
   return origin;
 }
 
-groups::Described described(const Origin& origin, std::string cls, std::string tenant,
-                            std::string_view statement) {
-  groups::Described d;
+groups::RequestAttributes described(const Origin& origin, std::string cls, std::string tenant,
+                                    std::string_view statement) {
+  groups::RequestAttributes d;
   d.cls = std::move(cls);
   d.tenant = std::move(tenant);
   d.operation = origin.operation;
--- a/src/path/grouping.hpp
+++ b/src/path/grouping.hpp
@@ -24,7 +24,7 @@
 };
 
 Origin origin_of(const http::Parser& request, const groups::Selectors& selectors, std::string address);
-groups::Described described(const Origin& origin, std::string cls, std::string tenant,
-                            std::string_view statement);
+groups::RequestAttributes described(const Origin& origin, std::string cls, std::string tenant,
+                                    std::string_view statement);
 
 }  // namespace heronwell::path
--- a/src/path/shard.cpp
+++ b/src/path/shard.cpp
@@ -177,12 +177,12 @@
   if (!chosen.group.empty()) {
     request->group = std::move(chosen.group);
     spec.group = request->group;
-    spec.group_created = chosen.made;
+    spec.group_created = chosen.from_template;
     return true;
   }
   router::Problem problem;
   problem.status = 403;
-  problem.detail = std::move(chosen.why);
+  problem.detail = std::move(chosen.reason);
   metrics_.rejected->Increment();
   record_finished(request, {'B', '-'}, problem.status);
   responses_.respond_with_problem(request, problem);
--- a/src/router/request_registry.cpp
+++ b/src/router/request_registry.cpp
@@ -75,7 +75,7 @@
   request.state = to;
   if (to != RequestState::finished) return;
   --open_;
-  if (groups_) groups_->settled(request.id);
+  if (groups_) groups_->request_finished(request.id);
 }
 
 void RequestRegistry::add_request(Time now, const RequestSpec& spec) {
@@ -101,7 +101,7 @@
   if (!groups_) return groups::Limit::none;
   observe_group_load(now);
   const auto& request = spec.request;
-  return groups_->enter(id, spec.group, spec.group_created,
+  return groups_->admit(id, spec.group, spec.group_created,
                         {request.class_index, request.estimated_memory_mb, request.estimated_work});
 }
 
@@ -172,10 +172,10 @@
   event.attempt = static_cast<AttemptIndex>(index);
   event.engine = attempt.engine;
   event.request_finished = request.state == RequestState::finished;
-  if (groups_) groups_->ended(request.id, index, !proves_never_ran(event.result));
+  if (groups_) groups_->attempt_ended(request.id, index, !proves_never_ran(event.result));
   if (request.state == RequestState::in_flight && std::ranges::all_of(request.attempts, &Attempt::ended)) {
     change_state(request, RequestState::queued);
-    if (groups_) groups_->waits(request.id);
+    if (groups_) groups_->request_requeued(request.id);
   }
   events_.emplace_back(std::move(event));
   finish_candidates_.push_back(request.id);
@@ -227,7 +227,8 @@
 }
 
 void RequestRegistry::gossip_received(std::uint32_t from_router, std::string bytes) {
-  if (groups_ && bytes.starts_with(groups::Shares::kMark)) return groups_->hear(from_router, bytes);
+  if (groups_ && bytes.starts_with(groups::Shares::kGossipFirstByte))
+    return groups_->receive_gossip(from_router, bytes);
   events_.emplace_back(GossipReceived{from_router, std::move(bytes)});
 }
 
@@ -246,7 +247,7 @@
 }
 
 void RequestRegistry::observe_group_load(Time now) {
-  if (groups_) groups_->at(now, decision_engine_.pool_threads());
+  if (groups_) groups_->advance_time(now, decision_engine_.pool_threads());
 }
 
 // Runs after all that has already come in, so that a response that came in the same step as its time-out
@@ -267,7 +268,7 @@
 // request without a client is one that needs nothing more.
 void RequestRegistry::enforce_group_limits() {
   if (!groups_) return;
-  for (const auto& [id, limit] : groups_->over()) {
+  for (const auto& [id, limit] : groups_->take_overdue()) {
     auto& request = requests_.at(id);
     if (!is_open(request.state)) continue;
     events_.emplace_back(ClientDisconnected{id});
@@ -359,7 +360,7 @@
   const auto stretch = std::max(1U, settings_.router_count / kRoutersAtFullRate);
   if (now < group_gossip_sent_at_ + kGroupGossipInterval * stretch) return;
   group_gossip_sent_at_ = now;
-  for (auto& bytes : groups_->tell(kMaxMessagesPerRound))
+  for (auto& bytes : groups_->gossip_messages(kMaxMessagesPerRound))
     out.emplace_back(ForwardGossip{std::nullopt, std::move(bytes)});
 }
 
@@ -489,7 +490,7 @@
   if (!timers_.empty()) due = std::min(due, *timers_.begin());
   if (!attempt_deadlines_.empty()) due = std::min(due, std::get<Time>(*attempt_deadlines_.begin()));
   if (!deadlines_.empty()) due = std::min(due, deadlines_.begin()->first);
-  if (groups_) due = std::min(due, groups_->next_due());
+  if (groups_) due = std::min(due, groups_->next_deadline());
   return due;
 }
 
--- a/tests/groups/selector_test.cpp
+++ b/tests/groups/selector_test.cpp
@@ -28,12 +28,12 @@
 
 struct Case {
   const char* name;
-  Described request;
+  RequestAttributes request;
   const char* group;
   unsigned rule;
 };
-Described with(std::string cls, std::string tenant = "") {
-  Described r;
+RequestAttributes with(std::string cls, std::string tenant = "") {
+  RequestAttributes r;
   r.cls = std::move(cls);
   r.tenant = std::move(tenant);
   return r;
@@ -78,9 +78,9 @@
   const auto all = selectors();
   for (const auto& one : cases()) {
     const auto chosen = all.choose(one.request);
-    EXPECT_EQ(chosen.group, one.group) << one.name << ": " << chosen.why;
+    EXPECT_EQ(chosen.group, one.group) << one.name << ": " << chosen.reason;
     EXPECT_EQ(chosen.rule, one.rule) << one.name;
-    EXPECT_EQ(chosen.group.empty(), !chosen.why.empty()) << one.name;
+    EXPECT_EQ(chosen.group.empty(), !chosen.reason.empty()) << one.name;
     // What is explained is what is chosen.
     const auto explanation = all.explain(one.request);
     EXPECT_NE(explanation.find(chosen.group.empty() ? "refused\n" : "group " + chosen.group + "\n"),
@@ -93,7 +93,7 @@
   const auto all = selectors("selectors: [{class: a, group: a}]\n");
   const auto chosen = all.choose(with("b"));
   EXPECT_EQ(chosen.group, "");
-  EXPECT_EQ(chosen.why, "no selector matches, and there is no default group");
+  EXPECT_EQ(chosen.reason, "no selector matches, and there is no default group");
   EXPECT_EQ(
       all.explain(with("b")),
       "selector 1: class is \"b\", not a\nno selector matches, and there is no default group\nrefused\n");
@@ -146,24 +146,24 @@
 }
 
 TEST(MadeTest, GroupsAreBoundedAndGoOnceIdle) {
-  Made made(2, 10s);
-  EXPECT_TRUE(made.enter(0s, "a"));
-  EXPECT_TRUE(made.enter(0s, "b"));
-  EXPECT_FALSE(made.enter(0s, "c")) << "as many as may be made";
-  EXPECT_TRUE(made.enter(0s, "a"));
-  made.leave(1s, "a");
-  EXPECT_TRUE(made.sweep(100s).empty()) << "one request is in it still";
-  made.leave(100s, "a");
-  made.leave(101s, "b");
-  EXPECT_FALSE(made.enter(109s, "c"));
-  EXPECT_TRUE(made.enter(110s, "c")) << "a is idle for long enough";
-  EXPECT_TRUE(made.enter(110s, "b")) << "in use again, so it stays";
-  EXPECT_TRUE(made.sweep(200s).empty());
-  EXPECT_EQ(made.size(), 2U);
-  made.leave(200s, "b");
-  made.leave(200s, "b");
-  made.leave(200s, "nothing");
-  EXPECT_EQ(made.sweep(210s), std::vector<std::string>{"b"});
+  OnDemandGroups groups(2, 10s);
+  EXPECT_TRUE(groups.enter(0s, "a"));
+  EXPECT_TRUE(groups.enter(0s, "b"));
+  EXPECT_FALSE(groups.enter(0s, "c")) << "as many as may be made";
+  EXPECT_TRUE(groups.enter(0s, "a"));
+  groups.leave(1s, "a");
+  EXPECT_TRUE(groups.sweep(100s).empty()) << "one request is in it still";
+  groups.leave(100s, "a");
+  groups.leave(101s, "b");
+  EXPECT_FALSE(groups.enter(109s, "c"));
+  EXPECT_TRUE(groups.enter(110s, "c")) << "a is idle for long enough";
+  EXPECT_TRUE(groups.enter(110s, "b")) << "in use again, so it stays";
+  EXPECT_TRUE(groups.sweep(200s).empty());
+  EXPECT_EQ(groups.size(), 2U);
+  groups.leave(200s, "b");
+  groups.leave(200s, "b");
+  groups.leave(200s, "nothing");
+  EXPECT_EQ(groups.sweep(210s), std::vector<std::string>{"b"});
 }
 
 // A client that claims another team by header counts for nothing beside an authenticated subject.
@@ -173,7 +173,7 @@
       "  - {subject: ann, header: {x-team: blue}, group: blue}\n  - {subject: ann, group: ann}\n",
       "test");
   const auto selectors = Selectors::read(section);
-  Described request;
+  RequestAttributes request;
   request.tags = {"red"};
   std::string team = "red";
   request.header = [&](std::string_view) { return std::optional(team); };
--- a/tests/groups/shares_test.cpp
+++ b/tests/groups/shares_test.cpp
@@ -41,21 +41,21 @@
 
   Limit request(const std::string& group, ClassIndex cls, Time length, std::size_t source = SIZE_MAX) {
     const auto id = ++ids_;
-    const auto limit = shares.enter(id, group, true, {cls, 0, std::nullopt});
+    const auto limit = shares.admit(id, group, true, {cls, 0, std::nullopt});
     if (limit == Limit::none) requests_[id] = {group, cls, length, source};
     return limit;
   }
 
   void step() {
     now += 5ms;
-    shares.at(now, pool_);
+    shares.advance_time(now, pool_);
     for (const auto& [end, id] : ends_)
       used[requests_[id].group] += 0.005 * classes_[requests_[id].cls].threads;
     while (!ends_.empty() && ends_.begin()->first <= now) {
       const auto id = ends_.begin()->second;
       ends_.erase(ends_.begin());
-      shares.ended(id, 0, true);
-      shares.settled(id);
+      shares.attempt_ended(id, 0, true);
+      shares.request_finished(id);
       free_ += classes_[requests_[id].cls].threads;
       requests_.erase(id);
     }
@@ -63,21 +63,21 @@
       while (sources[s].waiting < sources[s].count &&
              request(sources[s].group, sources[s].cls, sources[s].length, s) == Limit::none)
         ++sources[s].waiting;
-    while (release()) continue;
+    while (start_next()) continue;
     idle += free_ * 0.005;
   }
   void run(Time length) {
     for (const auto end = now + length; now < end;) step();
   }
-  std::map<std::string, double> share_over(Time length) {
+  std::map<std::string, double> shares_over(Time length) {
     const auto before = used;
     run(length);
-    std::map<std::string, double> got;
+    std::map<std::string, double> shares_used;
     double sum = 0;
     for (const auto& [group, all] : used)
-      sum += got[group] = all - (before.contains(group) ? before.at(group) : 0);
-    for (auto& [group, all] : got) all /= sum;
-    return got;
+      sum += shares_used[group] = all - (before.contains(group) ? before.at(group) : 0);
+    for (auto& [group, all] : shares_used) all /= sum;
+    return shares_used;
   }
 
   Shares shares;
@@ -87,7 +87,7 @@
   unsigned blocked_from = UINT_MAX;  // class that finds no engine
 
  private:
-  bool release() {
+  bool start_next() {
     for (std::size_t c = 0; c < classes_.size(); ++c) {
       if (c >= blocked_from) continue;
       for (const auto id : shares.next_requests(static_cast<ClassIndex>(c))) {
@@ -119,22 +119,22 @@
   GroupsSimulation simulation("{a: {weight: 5}, b: {weight: 3}, c: {weight: 2}}", 16);
   simulation.sources = {{"a", 0, 50ms, 20}, {"b", 0, 80ms, 20}, {"c", 0, 20ms, 20}};
   simulation.run(5s);
-  auto got = simulation.share_over(20s);
-  EXPECT_NEAR(got["a"], 0.5, 0.015);
-  EXPECT_NEAR(got["b"], 0.3, 0.015);
-  EXPECT_NEAR(got["c"], 0.2, 0.015);
+  auto share = simulation.shares_over(20s);
+  EXPECT_NEAR(share["a"], 0.5, 0.015);
+  EXPECT_NEAR(share["b"], 0.3, 0.015);
+  EXPECT_NEAR(share["c"], 0.2, 0.015);
 }
 
 TEST(Shares, CountEngineTimeSoThatLongReportsDontTakeTheShareOfLookups) {
   GroupsSimulation simulation("{reports: {}, lookups: {}}", 16);
   simulation.sources = {{"reports", 1, 2s, 10}, {"lookups", 0, 30ms, 40}};
   simulation.run(15s);  // until it is known what a report takes
-  auto got = simulation.share_over(20s);
-  EXPECT_NEAR(got["lookups"], 0.5, 0.03);
+  auto share = simulation.shares_over(20s);
+  EXPECT_NEAR(share["lookups"], 0.5, 0.03);
   simulation.sources[1].count = 0;  // what lookups leave is lent
   simulation.run(1s);
-  got = simulation.share_over(10s);
-  EXPECT_GT(got["reports"], 0.99);
+  share = simulation.shares_over(10s);
+  EXPECT_GT(share["reports"], 0.99);
 }
 
 TEST(Shares, LentThreadsComeBackWithoutEndingWhatRuns) {
@@ -143,17 +143,17 @@
   simulation.run(10s);
   simulation.sources.push_back({"b", 0, 100ms, 30});
   simulation.run(300ms);
-  auto got = simulation.share_over(2s);
-  EXPECT_NEAR(got["b"], 0.5, 0.1);  // its bounded credit first
-  got = simulation.share_over(10s);
-  EXPECT_NEAR(got["b"], 0.5, 0.02);
+  auto share = simulation.shares_over(2s);
+  EXPECT_NEAR(share["b"], 0.5, 0.1);  // its bounded credit first
+  share = simulation.shares_over(10s);
+  EXPECT_NEAR(share["b"], 0.5, 0.02);
 }
 
 TEST(Shares, OfOneThousandTimesTheTrafficTakeNoMore) {
   GroupsSimulation simulation("{loud: {}, quiet: {}}", 8);
   simulation.sources = {{"loud", 0, 40ms, 2000}, {"quiet", 0, 40ms, 8}};
   simulation.run(2s);
-  EXPECT_NEAR(simulation.share_over(20s)["quiet"], 0.5, 0.02);
+  EXPECT_NEAR(simulation.shares_over(20s)["quiet"], 0.5, 0.02);
 }
 
 TEST(Shares, AreDividedOnEachLevel) {
@@ -161,10 +161,10 @@
                               12);
   simulation.sources = {{"x.a", 0, 30ms, 20}, {"x.b", 0, 60ms, 20}, {"y", 0, 50ms, 20}};
   simulation.run(3s);
-  auto got = simulation.share_over(20s);
-  EXPECT_NEAR(got["x.a"], 0.25, 0.015);
-  EXPECT_NEAR(got["x.b"], 0.50, 0.015);
-  EXPECT_NEAR(got["y"], 0.25, 0.015);
+  auto share = simulation.shares_over(20s);
+  EXPECT_NEAR(share["x.a"], 0.25, 0.015);
+  EXPECT_NEAR(share["x.b"], 0.50, 0.015);
+  EXPECT_NEAR(share["y"], 0.25, 0.015);
 }
 
 // Ten levels, 5,000 leaves, two of them busy and two more now and then.
@@ -181,11 +181,11 @@
   GroupsSimulation simulation(yaml + "}" + end, 8);
   simulation.sources = {{above + "g7", 0, 50ms, 20}, {above + "g4999", 0, 50ms, 20}};
   simulation.run(2s);
-  EXPECT_NEAR(simulation.share_over(5s)[above + "g7"], 0.75, 0.03);
+  EXPECT_NEAR(simulation.shares_over(5s)[above + "g7"], 0.75, 0.03);
   for (int i = 0; i < 50; ++i)
     EXPECT_EQ(simulation.request(above + "g" + std::to_string(50 * i), 0, 20ms), Limit::none);
   simulation.run(2s);
-  EXPECT_EQ(simulation.shares.inconsistency(), "");
+  EXPECT_EQ(simulation.shares.find_inconsistency(), "");
   EXPECT_EQ(simulation.shares.view().size(), 5010u);
 }
 
@@ -193,7 +193,7 @@
   GroupsSimulation simulation("{x: {policy: strict, groups: {first: {}, second: {}}}}", 4);
   simulation.sources = {{"x.second", 0, 50ms, 10}, {"x.first", 0, 50ms, 10}};
   simulation.run(1s);
-  EXPECT_GT(simulation.share_over(5s)["x.first"], 0.99);
+  EXPECT_GT(simulation.shares_over(5s)["x.first"], 0.99);
 }
 
 TEST(Shares, FirstComeChildrenGoAsTheyCame) {
@@ -211,7 +211,7 @@
   GroupsSimulation simulation("{a: {weight: 100}, b: {weight: 1, min_threads: 4}}", 8);
   simulation.sources = {{"a", 0, 50ms, 30}, {"b", 0, 50ms, 30}};
   simulation.run(1s);
-  EXPECT_NEAR(simulation.share_over(10s)["b"], 0.5, 0.02);
+  EXPECT_NEAR(simulation.shares_over(10s)["b"], 0.5, 0.02);
 }
 
 TEST(Shares, CeilingsAreNeverPassed) {
@@ -232,12 +232,12 @@
 
 TEST(Shares, MemoryCeilingsHoldBackByEstimates) {
   Shares shares(tree("{a: {max_memory: 100MiB}, b: {}}"), {{1, false}}, {});
-  shares.at(1s, 8);
-  for (RequestId id = 1; id <= 3; ++id) ASSERT_EQ(shares.enter(id, "a", false, {0, 60, {}}), Limit::none);
+  shares.advance_time(1s, 8);
+  for (RequestId id = 1; id <= 3; ++id) ASSERT_EQ(shares.admit(id, "a", false, {0, 60, {}}), Limit::none);
   shares.attempt_started(shares.next_requests(0).front());
   EXPECT_TRUE(shares.next_requests(0).empty()) << "a second would pass it";
-  shares.ended(1, 0, true);
-  shares.settled(1);
+  shares.attempt_ended(1, 0, true);
+  shares.request_finished(1);
   EXPECT_EQ(shares.next_requests(0), std::vector<RequestId>{2});
 }
 
@@ -250,13 +250,13 @@
     elsewhere.run(1s);
     simulation.sources = {{"a", 0, 50ms, 20}, {"b", 0, 50ms, 20}};
     simulation.run(1s);
-    for (const auto& m : elsewhere.shares.tell(4)) simulation.shares.hear(1, m);
+    for (const auto& m : elsewhere.shares.gossip_messages(4)) simulation.shares.receive_gossip(1, m);
     elsewhere.run(5s);
-    for (const auto& m : elsewhere.shares.tell(4)) simulation.shares.hear(1, m);
+    for (const auto& m : elsewhere.shares.gossip_messages(4)) simulation.shares.receive_gossip(1, m);
     simulation.sources[0].count = simulation.sources[1].count = 0;
     simulation.run(pause);
     simulation.sources[0].count = simulation.sources[1].count = 20;
-    const auto share = simulation.share_over(400ms)["b"];  // the credit that a group can come back with
+    const auto share = simulation.shares_over(400ms)["b"];  // the credit that a group can come back with
 
     if (pause == Time(1s))
       EXPECT_GT(share, 0.9);
@@ -269,37 +269,37 @@
   Shares shares(
       tree("{a: {max_threads: 2, query_work: 1s, query_memory: 64MiB, groups: {x: {max_queued: 2}}}}"),
       {{1, false}, {4, false}}, {});
-  shares.at(1s, 8);
-  EXPECT_EQ(shares.enter(1, "a.x", false, {1, 0, {}}), Limit::query_threads);
-  EXPECT_EQ(shares.enter(1, "a.x", false, {0, 0, Time(2s)}), Limit::query_work);
-  EXPECT_EQ(shares.enter(1, "a.x", false, {0, 100, {}}), Limit::query_memory);
-  EXPECT_EQ(shares.enter(1, "a", false, {0, 0, {}}), Limit::unknown_group);
-  EXPECT_EQ(shares.enter(1, "b", false, {0, 0, {}}), Limit::unknown_group);
-  EXPECT_EQ(shares.enter(1, "a.x", false, {0, 0, {}}), Limit::none);
-  EXPECT_EQ(shares.enter(2, "a.x", false, {0, 0, {}}), Limit::none);
-  EXPECT_EQ(shares.enter(3, "a.x", false, {0, 0, {}}), Limit::queued);
+  shares.advance_time(1s, 8);
+  EXPECT_EQ(shares.admit(1, "a.x", false, {1, 0, {}}), Limit::query_threads);
+  EXPECT_EQ(shares.admit(1, "a.x", false, {0, 0, Time(2s)}), Limit::query_work);
+  EXPECT_EQ(shares.admit(1, "a.x", false, {0, 100, {}}), Limit::query_memory);
+  EXPECT_EQ(shares.admit(1, "a", false, {0, 0, {}}), Limit::unknown_group);
+  EXPECT_EQ(shares.admit(1, "b", false, {0, 0, {}}), Limit::unknown_group);
+  EXPECT_EQ(shares.admit(1, "a.x", false, {0, 0, {}}), Limit::none);
+  EXPECT_EQ(shares.admit(2, "a.x", false, {0, 0, {}}), Limit::none);
+  EXPECT_EQ(shares.admit(3, "a.x", false, {0, 0, {}}), Limit::queued);
   EXPECT_EQ(shares.requests(), 2u);
-  EXPECT_EQ(shares.inconsistency(), "");
+  EXPECT_EQ(shares.find_inconsistency(), "");
 }
 
 TEST(Shares, TimeOutWhatWaitsOrRunsTooLong) {
   Shares shares(tree("{a: {longest_wait: 100ms, query_time: 200ms}}"), {{1, false}}, {});
-  shares.at(1s, 8);
-  (void)shares.enter(1, "a", false, {});
-  (void)shares.enter(2, "a", false, {});
+  shares.advance_time(1s, 8);
+  (void)shares.admit(1, "a", false, {});
+  (void)shares.admit(2, "a", false, {});
   shares.attempt_started(1);
-  EXPECT_EQ(shares.next_due(), 1s + 100ms);
-  shares.at(1s + 100ms, 8);
-  auto over = shares.over();
-  ASSERT_EQ(over.size(), 1u);
-  EXPECT_EQ(over[0].request, 2u);
-  shares.settled(2);
-  shares.at(1s + 200ms, 8);
-  over = shares.over();
-  ASSERT_EQ(over.size(), 1u);
-  EXPECT_EQ(over[0].limit, Limit::run);
-  shares.settled(1);
-  shares.ended(1, 0, true);
+  EXPECT_EQ(shares.next_deadline(), 1s + 100ms);
+  shares.advance_time(1s + 100ms, 8);
+  auto overdue = shares.take_overdue();
+  ASSERT_EQ(overdue.size(), 1u);
+  EXPECT_EQ(overdue[0].request, 2u);
+  shares.request_finished(2);
+  shares.advance_time(1s + 200ms, 8);
+  overdue = shares.take_overdue();
+  ASSERT_EQ(overdue.size(), 1u);
+  EXPECT_EQ(overdue[0].limit, Limit::run);
+  shares.request_finished(1);
+  shares.attempt_ended(1, 0, true);
   EXPECT_EQ(shares.requests(), 0u);
 }
 
@@ -316,14 +316,14 @@
 }
 
 // One router's shares through arrivals, starts, ends, repeats, disconnects and reloads, at random.
-class RandomLife {
+class RandomEvents {
  public:
-  explicit RandomLife(std::uint32_t seed) : random_(seed) {}
+  explicit RandomEvents(std::uint32_t seed) : random_(seed) {}
 
   void step() {
-    now_ += Time(drawn(20'000'000));
-    shares_.at(now_, kThreads);
-    const auto what = drawn(100);
+    now_ += Time(random(20'000'000));
+    shares_.advance_time(now_, kThreads);
+    const auto what = random(100);
     if (what < 40) {
       arrive();
     } else if (what < 65) {
@@ -340,7 +340,7 @@
   void serve() {
     for (int i = 0; i < 20'000 && !queued_.empty(); ++i) {
       now_ += 10ms;
-      shares_.at(now_, kThreads);
+      shares_.advance_time(now_, kThreads);
       for (ClassIndex cls = 0; cls < 2; ++cls) serve_next(cls);
       end_all_attempts();
     }
@@ -350,23 +350,23 @@
 
  private:
   static constexpr double kThreads = 8;
-  static const std::string& written() {
+  static const std::string& initial_tree() {
     static const std::string yaml =
         "{a: {weight: 3, max_threads: 6, groups: {x: {}, y: {weight: 2}}}, b: {policy: strict, groups: {x: "
         "{}, y: {}}},"
         " c: {policy: first_come, groups: {x: {}, y: {}}}, t: {}}";
     return yaml;
   }
-  unsigned drawn(unsigned n) { return static_cast<unsigned>(random_() % n); }
+  unsigned random(unsigned n) { return static_cast<unsigned>(random_() % n); }
   void arrive() {
     static const std::vector<std::string> paths{"a.x", "a.y",   "b.x",   "b.y",    "c.x",
                                                 "c.y", "t.one", "t.two", "t.three"};
     const auto id = ++ids_;
-    if (shares_.enter(id, paths[drawn(9)], true, {static_cast<ClassIndex>(drawn(2)), 0, {}}) == Limit::none)
+    if (shares_.admit(id, paths[random(9)], true, {static_cast<ClassIndex>(random(2)), 0, {}}) == Limit::none)
       queued_.insert(id);
   }
   void start() {
-    const auto offered = shares_.next_requests(static_cast<ClassIndex>(drawn(2)));
+    const auto offered = shares_.next_requests(static_cast<ClassIndex>(random(2)));
     if (offered.empty()) return;
     const auto id = offered.front();
     ASSERT_TRUE(queued_.contains(id)) << "offered what does not wait";
@@ -376,60 +376,60 @@
   }
   // A request's last attempt ends; a quarter are queued again, before the final answer of each.
   void end_attempt() {
-    const auto found = std::next(attempts_.begin(), drawn(static_cast<unsigned>(attempts_.size())));
+    const auto found = std::next(attempts_.begin(), random(static_cast<unsigned>(attempts_.size())));
     const auto id = found->first;
-    shares_.ended(id, found->second - 1, drawn(4) > 0);
-    if (drawn(4) == 0) shares_.waits(id);
-    shares_.settled(id);
+    shares_.attempt_ended(id, found->second - 1, random(4) > 0);
+    if (random(4) == 0) shares_.request_requeued(id);
+    shares_.request_finished(id);
     attempts_.erase(found);
   }
   void disconnect() {
     const auto id = *queued_.begin();
-    shares_.settled(id);
+    shares_.request_finished(id);
     queued_.erase(id);
   }
   void reload() {
-    shares_.reload(tree(drawn(2) == 0 ? written()
-                                      : "{a: {weight: 3, groups: {x: {}, moved: {was: b.x}}}, c: {groups: "
-                                        "{x: {}, y: {weight: 4}}}, t: {}}"));
+    shares_.reload(tree(random(2) == 0 ? initial_tree()
+                                       : "{a: {weight: 3, groups: {x: {}, moved: {was: b.x}}}, c: {groups: "
+                                         "{x: {}, y: {weight: 4}}}, t: {}}"));
   }
   void serve_next(ClassIndex cls) {
     const auto offered = shares_.next_requests(cls);
     if (offered.empty()) return;
     const auto id = offered.front();
     shares_.attempt_started(id);
-    shares_.settled(id);
+    shares_.request_finished(id);
     queued_.erase(id);
-    shares_.ended(id, attempts_[id]++, true);
+    shares_.attempt_ended(id, attempts_[id]++, true);
   }
   void end_all_attempts() {
     for (const auto& [id, started] : attempts_) {
       if (queued_.contains(id)) continue;
-      for (std::size_t attempt = 0; attempt < started; ++attempt) shares_.ended(id, attempt, true);
-      shares_.settled(id);
+      for (std::size_t attempt = 0; attempt < started; ++attempt) shares_.attempt_ended(id, attempt, true);
+      shares_.request_finished(id);
     }
   }
 
   std::mt19937 random_;
-  Shares shares_{tree(written()), {{1, false}, {3, true}}, {}};
+  Shares shares_{tree(initial_tree()), {{1, false}, {3, true}}, {}};
   Time now_ = 1s;
   RequestId ids_ = 0;
   std::map<RequestId, std::size_t> attempts_;  // started, by request
   std::set<RequestId> queued_;
 };
 
-// With nobody over its slack, a free thread finds whoever waits, in each step of a random life.
+// With nobody over its slack, a free thread finds whoever waits, in each step of a random events.
 TEST(Shares, KeepTheirSumsAndLeaveNobodyStarving) {
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
-    RandomLife life(seed);
+    RandomEvents events(seed);
     for (int i = 0; i < 3000; ++i) {
-      life.step();
+      events.step();
       ASSERT_FALSE(testing::Test::HasFatalFailure()) << "seed " << seed << ", step " << i;
-      ASSERT_EQ(life.shares().inconsistency(), "") << "seed " << seed << ", step " << i;
+      ASSERT_EQ(events.shares().find_inconsistency(), "") << "seed " << seed << ", step " << i;
     }
-    life.serve();
-    EXPECT_EQ(life.queued(), 0u) << "seed " << seed << ": so many starve";
-    EXPECT_EQ(life.shares().requests(), 0u);
+    events.serve();
+    EXPECT_EQ(events.queued(), 0u) << "seed " << seed << ": so many starve";
+    EXPECT_EQ(events.shares().requests(), 0u);
   }
 }
 
@@ -440,12 +440,12 @@
   const auto before = simulation.shares.requests();
   simulation.shares.reload(tree("{x: {weight: 1, groups: {moved: {was: a}}}, b: {weight: 3}}"));
   EXPECT_EQ(simulation.shares.requests(), before);
-  EXPECT_EQ(simulation.shares.inconsistency(), "");
+  EXPECT_EQ(simulation.shares.find_inconsistency(), "");
   simulation.sources[0].group = "x.moved";
   simulation.sources[0].waiting = 20;
   simulation.run(2s);
-  auto got = simulation.share_over(20s);
-  EXPECT_NEAR(got["b"], 0.75, 0.02);
+  auto share = simulation.shares_over(20s);
+  EXPECT_NEAR(share["b"], 0.75, 0.02);
 }
 
 TEST(Shares, RequestsOfARemovedGroupRunToTheirEnd) {
@@ -465,17 +465,17 @@
   settings.most_made = 3;
   settings.made_idle = 10s;
   Shares shares(tree("{t: {}}"), {{1, false}}, settings);
-  shares.at(1s, 4);
+  shares.advance_time(1s, 4);
   for (RequestId id = 1; id <= 3; ++id)
-    EXPECT_EQ(shares.enter(id, "t.g" + std::to_string(id), true, {}), Limit::none);
-  EXPECT_EQ(shares.enter(4, "t.g4", true, {}), Limit::made);
-  EXPECT_EQ(shares.enter(4, "t.g4", false, {}), Limit::unknown_group);
-  shares.settled(1);
-  EXPECT_EQ(shares.enter(4, "t.g4", true, {}), Limit::made);
-  shares.at(12s, 4);  // the idle one is gone by itself
+    EXPECT_EQ(shares.admit(id, "t.g" + std::to_string(id), true, {}), Limit::none);
+  EXPECT_EQ(shares.admit(4, "t.g4", true, {}), Limit::made);
+  EXPECT_EQ(shares.admit(4, "t.g4", false, {}), Limit::unknown_group);
+  shares.request_finished(1);
+  EXPECT_EQ(shares.admit(4, "t.g4", true, {}), Limit::made);
+  shares.advance_time(12s, 4);  // the idle one is gone by itself
   EXPECT_EQ(shares.view().size(), 4u);
-  EXPECT_EQ(shares.enter(4, "t.g4", true, {}), Limit::none);
-  EXPECT_EQ(shares.inconsistency(), "");
+  EXPECT_EQ(shares.admit(4, "t.g4", true, {}), Limit::none);
+  EXPECT_EQ(shares.find_inconsistency(), "");
 }
 
 // Eight routers with uneven traffic, one with most of group a's; with gossip, a tenth of the messages is
@@ -507,9 +507,10 @@
  private:
   static constexpr unsigned kRouters = 8;
   void gossip_from(unsigned sender) {
-    for (const auto& message : routers_[sender]->shares.tell(4))
+    for (const auto& message : routers_[sender]->shares.gossip_messages(4))
       for (unsigned receiver = 0; receiver < kRouters; ++receiver)
-        if (receiver != sender && random_() % 10 != 0) routers_[receiver]->shares.hear(sender, message);
+        if (receiver != sender && random_() % 10 != 0)
+          routers_[receiver]->shares.receive_gossip(sender, message);
   }
 
   bool gossip_enabled_;
@@ -536,40 +537,40 @@
   GroupsSimulation sender("{a: {}, b: {}}", 4);
   sender.sources = {{"a", 0, 50ms, 10}};
   Shares receiver(tree("{a: {}, b: {}}"), {{1, false}, {4, false}}, {});
-  receiver.at(1s, 4);
+  receiver.advance_time(1s, 4);
   const auto used = [](const Shares& shares, bool elsewhere) {
     const auto all = shares.view();
-    return elsewhere ? all[1].heard_s : all[1].used_s;
+    return elsewhere ? all[1].used_elsewhere_s : all[1].used_s;
   };
   double base = 0;
   for (int i = 0; i < 20; ++i) {
     sender.run(200ms);
-    const auto messages = sender.shares.tell(4);
+    const auto messages = sender.shares.gossip_messages(4);
     ASSERT_EQ(messages.size(), 1u);
     if (i == 0) base = used(sender.shares, false);
     if (i % 3 == 1) continue;  // lost
-    receiver.hear(3, messages[0]);
-    if (i % 4 == 2) receiver.hear(3, messages[0]);
+    receiver.receive_gossip(3, messages[0]);
+    if (i % 4 == 2) receiver.receive_gossip(3, messages[0]);
     EXPECT_NEAR(used(receiver, true), used(sender.shares, false) - base, 0.002);
   }
   EXPECT_GT(used(receiver, true), 10);
-  Shares begun_anew(tree("{a: {}, b: {}}"), {{1, false}, {4, false}}, {});
+  Shares restarted(tree("{a: {}, b: {}}"), {{1, false}, {4, false}}, {});
   const double before = used(receiver, true);
-  begun_anew.at(77s, 4);
-  (void)begun_anew.enter(1, "a", false, {});
-  begun_anew.attempt_started(1);
-  for (const auto& message : begun_anew.tell(1)) receiver.hear(3, message);
+  restarted.advance_time(77s, 4);
+  (void)restarted.admit(1, "a", false, {});
+  restarted.attempt_started(1);
+  for (const auto& message : restarted.gossip_messages(1)) receiver.receive_gossip(3, message);
   EXPECT_EQ(used(receiver, true), before) << "its sum began anew, and is not taken for less";
 }
 
 TEST(Shares, IgnoreMalformedMessages) {
   Shares shares(tree("{a: {}}"), {{1, false}}, {});
-  shares.at(1s, 4);
+  shares.advance_time(1s, 4);
   for (const auto& bytes : {std::string(), std::string("g"), std::string(9, 'g'), std::string(20, 'g'),
                             std::string(21, 'x'), std::string(300, 'g')})
-    shares.hear(1, bytes);
-  shares.hear(2, std::string(1, 'g') + std::string(20, '\xff'));
-  EXPECT_EQ(shares.inconsistency(), "");
+    shares.receive_gossip(1, bytes);
+  shares.receive_gossip(2, std::string(1, 'g') + std::string(20, '\xff'));
+  EXPECT_EQ(shares.find_inconsistency(), "");
 }
 
 TEST(Shares, AStalledRouterComesBackWithoutOldCredit) {
@@ -577,7 +578,7 @@
   stalled.sources = {{"a", 0, 50ms, 20}, {"b", 0, 50ms, 20}};
   other.sources = {{"b", 0, 50ms, 40}};
   const auto send_gossip = [&] {
-    for (const auto& m : other.shares.tell(4)) stalled.shares.hear(2, m);
+    for (const auto& m : other.shares.gossip_messages(4)) stalled.shares.receive_gossip(2, m);
   };
   stalled.run(2s);
   other.run(2s);
@@ -591,11 +592,11 @@
   // What b used elsewhere counts, but no more than the bound: a is not served alone for twenty seconds.
   EXPECT_LT(stalled.used["a"] - before, 8.5);
   stalled.run(40s);
-  EXPECT_NEAR(stalled.share_over(10s)["b"], 0.5, 0.02);
+  EXPECT_NEAR(stalled.shares_over(10s)["b"], 0.5, 0.02);
 }
 
 // ---- schedules -------------------------------------------------------------------------------------------
-Time at(int year, unsigned month, unsigned day, int hour, int minute) {
+Time utc(int year, unsigned month, unsigned day, int hour, int minute) {
   std::tm tm{};
   tm.tm_year = year - 1900;
   tm.tm_mon = static_cast<int>(month) - 1;
@@ -616,36 +617,37 @@
   const auto nights = schedules(
       "[{name: nights, days: [mon], from: \"22:00\", to: \"06:00\", zone: Europe/Riga, set: {reports: "
       "{weight: 8}}}]");
-  EXPECT_TRUE(nights.at(at(2026, 11, 30, 19, 59)).empty());  // a Monday, 21:59 there
-  ASSERT_EQ(nights.at(at(2026, 11, 30, 20, 0)).size(), 1u);
-  EXPECT_EQ(nights.at(at(2026, 11, 30, 20, 0))[0].weight, 8);
-  EXPECT_EQ(nights.at(at(2026, 12, 1, 3, 59)).size(), 1u);
-  EXPECT_TRUE(nights.at(at(2026, 12, 1, 4, 0)).empty());
-  EXPECT_TRUE(nights.at(at(2026, 12, 1, 20, 30)).empty());  // Tuesday
+  EXPECT_TRUE(nights.overrides_at(utc(2026, 11, 30, 19, 59)).empty());  // a Monday, 21:59 there
+  ASSERT_EQ(nights.overrides_at(utc(2026, 11, 30, 20, 0)).size(), 1u);
+  EXPECT_EQ(nights.overrides_at(utc(2026, 11, 30, 20, 0))[0].weight, 8);
+  EXPECT_EQ(nights.overrides_at(utc(2026, 12, 1, 3, 59)).size(), 1u);
+  EXPECT_TRUE(nights.overrides_at(utc(2026, 12, 1, 4, 0)).empty());
+  EXPECT_TRUE(nights.overrides_at(utc(2026, 12, 1, 20, 30)).empty());  // Tuesday
 }
 
 TEST(Schedules, KeepToTheClockOnTheWallWhenItChanges) {
   // In Riga clocks went from 04:00 to 03:00 on 2026-10-25 and from 03:00 to 04:00 on 2026-03-29.
   const auto s = schedules(
       R"([{name: early, from: "03:30", to: "05:00", zone: Europe/Riga, set: {reports: {weight: 8}}}])");
-  EXPECT_TRUE(s.at(at(2026, 10, 25, 0, 29)).empty());
-  EXPECT_FALSE(s.at(at(2026, 10, 25, 0, 30)).empty());  // the first 03:30, summer time
-  EXPECT_FALSE(s.at(at(2026, 10, 25, 2, 59)).empty());  // 04:59, winter time
-  EXPECT_TRUE(s.at(at(2026, 10, 25, 3, 0)).empty());
-  EXPECT_TRUE(s.at(at(2026, 3, 29, 0, 59)).empty());
-  EXPECT_FALSE(s.at(at(2026, 3, 29, 1, 0)).empty());  // 03:30 does not come; it begins at the change
-  EXPECT_TRUE(s.at(at(2026, 3, 29, 2, 0)).empty());
+  EXPECT_TRUE(s.overrides_at(utc(2026, 10, 25, 0, 29)).empty());
+  EXPECT_FALSE(s.overrides_at(utc(2026, 10, 25, 0, 30)).empty());  // the first 03:30, summer time
+  EXPECT_FALSE(s.overrides_at(utc(2026, 10, 25, 2, 59)).empty());  // 04:59, winter time
+  EXPECT_TRUE(s.overrides_at(utc(2026, 10, 25, 3, 0)).empty());
+  EXPECT_TRUE(s.overrides_at(utc(2026, 3, 29, 0, 59)).empty());
+  EXPECT_FALSE(
+      s.overrides_at(utc(2026, 3, 29, 1, 0)).empty());  // 03:30 does not come; it begins at the change
+  EXPECT_TRUE(s.overrides_at(utc(2026, 3, 29, 2, 0)).empty());
 }
 
 TEST(Schedules, RiseAndFallOverTheirRamp) {
   const auto s = schedules(
       "[{name: day, from: \"10:00\", to: \"12:00\", ramp: 10min, set: {reports: {weight: 12, max_threads: "
       "4}}}]");
-  EXPECT_DOUBLE_EQ(*s.at(at(2026, 12, 1, 10, 5))[0].weight, 7);
-  EXPECT_DOUBLE_EQ(*s.at(at(2026, 12, 1, 10, 10))[0].weight, 12);
-  EXPECT_DOUBLE_EQ(*s.at(at(2026, 12, 1, 12, 5))[0].weight, 7);
-  EXPECT_TRUE(s.at(at(2026, 12, 1, 12, 10)).empty());
-  EXPECT_EQ(s.in_force(at(2026, 12, 1, 10, 5)), std::vector<std::string>{"day 50%"});
+  EXPECT_DOUBLE_EQ(*s.overrides_at(utc(2026, 12, 1, 10, 5))[0].weight, 7);
+  EXPECT_DOUBLE_EQ(*s.overrides_at(utc(2026, 12, 1, 10, 10))[0].weight, 12);
+  EXPECT_DOUBLE_EQ(*s.overrides_at(utc(2026, 12, 1, 12, 5))[0].weight, 7);
+  EXPECT_TRUE(s.overrides_at(utc(2026, 12, 1, 12, 10)).empty());
+  EXPECT_EQ(s.active_names(utc(2026, 12, 1, 10, 5)), std::vector<std::string>{"day 50%"});
 }
 
 TEST(Schedules, LaterOnesHoldAndOnceMeansOnce) {
@@ -653,10 +655,10 @@
       "[{name: always, from: \"00:00\", to: \"24:00\", set: {reports: {weight: 3}, lookups: {weight: 4}}},"
       "{name: fair, from: \"2026-12-24T18:00\", to: \"2026-12-27T00:00\", zone: Europe/Riga, set: {reports: "
       "{weight: 9}}}]");
-  EXPECT_EQ(s.at(at(2026, 12, 24, 15, 59))[1].weight, 3);
-  EXPECT_EQ(s.at(at(2026, 12, 24, 16, 0))[1].weight, 9);
-  EXPECT_EQ(s.at(at(2026, 12, 26, 22, 0))[1].weight, 3);
-  EXPECT_EQ(s.at(at(2027, 12, 24, 16, 0))[1].weight, 3);
+  EXPECT_EQ(s.overrides_at(utc(2026, 12, 24, 15, 59))[1].weight, 3);
+  EXPECT_EQ(s.overrides_at(utc(2026, 12, 24, 16, 0))[1].weight, 9);
+  EXPECT_EQ(s.overrides_at(utc(2026, 12, 26, 22, 0))[1].weight, 3);
+  EXPECT_EQ(s.overrides_at(utc(2027, 12, 24, 16, 0))[1].weight, 3);
 }
 
 TEST(Schedules, ErrorsNameTheirPlace) {
@@ -685,13 +687,13 @@
   simulation.sources = {{"a", 0, 60ms, 50}, {"b", 0, 60ms, 50}};
   simulation.run(5s);
   const auto before = simulation.shares.requests();
-  simulation.shares.adjust({{"a", 3, std::nullopt, std::nullopt}});
+  simulation.shares.set_overrides({{"a", 3, std::nullopt, std::nullopt}});
   EXPECT_EQ(simulation.shares.requests(), before);
   simulation.run(500ms);
-  EXPECT_NEAR(simulation.share_over(2s)["a"], 0.75, 0.04);
-  simulation.shares.adjust({});
+  EXPECT_NEAR(simulation.shares_over(2s)["a"], 0.75, 0.04);
+  simulation.shares.set_overrides({});
   simulation.run(500ms);
-  EXPECT_NEAR(simulation.share_over(2s)["a"], 0.5, 0.04);
+  EXPECT_NEAR(simulation.shares_over(2s)["a"], 0.5, 0.04);
 }
 
 }  // namespace
--- a/tests/groups/tree_test.cpp
+++ b/tests/groups/tree_test.cpp
@@ -96,7 +96,7 @@
   EXPECT_EQ(t.add("team."), nullptr);
   EXPECT_EQ(t.find("team.maps")->depth, 2U);
   std::string path = "team";
-  for (unsigned i = 2; i <= Tree::kDeepest; ++i) EXPECT_NE(t.add(path += ".x"), nullptr) << i;
+  for (unsigned i = 2; i <= Tree::kMaxDepth; ++i) EXPECT_NE(t.add(path += ".x"), nullptr) << i;
   EXPECT_EQ(t.add(path + ".x"), nullptr) << "too deep";
 }
 
--- a/tests/router/groups_test.cpp
+++ b/tests/router/groups_test.cpp
@@ -157,7 +157,7 @@
       }
       run();
       settle();
-      ASSERT_EQ(registry->groups()->inconsistency(), "") << "seed " << seed << ", step " << i;
+      ASSERT_EQ(registry->groups()->find_inconsistency(), "") << "seed " << seed << ", step " << i;
       ASSERT_EQ(registry->groups()->requests() > 0, registry->remembered_count() > 0)
           << "seed " << seed << ", step " << i;
     }
