--- a/src/groups/fair_shares.cpp
+++ b/src/groups/fair_shares.cpp
@@ -10,18 +10,19 @@
 
 using namespace std::chrono_literals;
 
-// Time in which use that counts as recent fades to 1/e. A few answers of reports, so that operators see a
-// share and not single queries, and a change of weights within a look or two.
+// Time constant with which recent use decays (to 1/e). It covers a few queries of a report class, so that
+// operators see a share rather than single queries, and see a change of weights soon.
 constexpr double kRecentSeconds = 10;
 
-// Recent use is faded in steps of at least this, so that a burst of small charges does not pay for as many
-// exponentials. A thousandth of kRecentSeconds: no operator sees it.
+// Smallest time step in which recent use is decayed, so that a burst of small charges does not compute an
+// exponential for each charge. A thousandth of kRecentSeconds is too small to be visible.
 constexpr Time kRecentResolution = 10ms;
 
-// Least fading time that is divided by, in seconds: a setting of 0 means at once.
-constexpr double kMinFadeSeconds = 1e-3;
+// Lower bound of the decay time constant, in seconds. It prevents a division by zero; a `fade` of 0 means an
+// immediate decay.
+constexpr double kMinDecaySeconds = 1e-3;
 
-// The groups from the leaf up to below the root.
+// The groups from the leaf up to, but not including, the root.
 struct Ancestors {
   Ancestors(const GroupNodes& nodes, GroupNumber leaf) {
     for (auto group = leaf; group != kRootGroup; group = nodes[group].parent) groups[count++] = group;
@@ -32,7 +33,7 @@
 
 }  // namespace
 
-// How fast the virtual time of the children grows, each second, while all with requests share the fleet.
+// Growth of the children's virtual time per second while all groups with requests share the fleet.
 double FairShares::rate(GroupNumber parent) const {
   const Ancestors ancestors(nodes_, parent);
   double share = context_.fleet_threads;
@@ -74,8 +75,7 @@
     const double weight = node.settings.weight;
     auto& virtual_time = node.share.virtual_time;
     add_use(node, amount, used_by);
-    // Each second, the virtual time of these siblings grows by this much; a group that has no request now as
-    // if it had.
+    // Growth of the siblings' virtual time per second. A group without requests is treated as if it had some.
     const double rate = share / std::max(parent_node->share.active_weight, weight);
     virtual_time += amount / weight;
     if (parent_node->settings.policy == Policy::fair) {
@@ -94,8 +94,8 @@
   if (first && first->after_minima) raise_floor(node.parent, first->order);
   const double per_second = rate(node.parent);
   const double idle_seconds = seconds(context_.now - node.share.idle_since);
-  const double faded = std::exp(-idle_seconds / std::max(kMinFadeSeconds, seconds(context_.settings.fade)));
-  const double offset = (node.share.virtual_time - floor) * faded;
+  const double decay = std::exp(-idle_seconds / std::max(kMinDecaySeconds, seconds(context_.settings.fade)));
+  const double offset = (node.share.virtual_time - floor) * decay;
   node.share.virtual_time = floor + std::clamp(offset, -seconds(context_.settings.credit) * per_second,
                                                seconds(context_.settings.debt) * per_second);
   order_.rekey(group);
--- a/src/groups/fair_shares.hpp
+++ b/src/groups/fair_shares.hpp
@@ -1,16 +1,20 @@
-// Weighted fair shares of engine time: start-time fair queueing on each level of the tree.
+// FairShares divides engine time among sibling groups by weight: start-time fair queueing on each level of
+// the tree.
 //
-// Rule: engine time is threads x seconds that queries are in flight. Each group counts what it used over its
-// weight, its virtual time; the waiting sibling with the least goes first. The floor of a group is the
-// virtual time of the waiting child that has used least, and never falls. A group that begins to wait again
-// stands at the floor plus what it is owed or owes, which has faded while it was idle and is bounded by
-// credit and debt.
+// Engine time is the number of threads multiplied by the seconds for which queries are in flight. The virtual
+// time of a group is its used engine time divided by its weight. Among waiting siblings, the group with the
+// smallest virtual time starts its request first. The floor of a parent is the smallest virtual time among
+// its waiting children; it never decreases. When a group starts to wait again, its virtual time is the floor
+// plus its earlier offset from the floor. That offset decays while the group is idle and is bounded by the
+// settings `credit` (below the floor) and `debt` (above it).
 //
-// Inputs: thread-seconds used here or, by gossip, elsewhere; weights; threads of the fleet. Output: virtual
-// times and floors, in thread-seconds over weight, and the sums that operators see. Failure: a group that was
-// idle for hours comes back with all the time it did not use, and alone has the engines; or one that borrowed
-// for hours is never served again. It shows as a group with 0 or 1 of the share while siblings wait. Guard:
-// credit and debt are bounded in seconds of the engines' time, and fade.
+// The inputs are thread-seconds used on this router or, as gossip reports, on other routers, the weights, and
+// the number of threads of the fleet. The outputs are virtual times and floors, in thread-seconds per unit of
+// weight, and the sums that operators see.
+//
+// The bounds and the decay prevent starvation. Without them, a group that was idle for hours would return
+// with all its unused time and occupy the engines alone, and a group that borrowed for hours would never be
+// served again. Such a fault shows as a group whose share is 0 or 1 while its siblings wait.
 #pragma once
 
 #include <optional>
@@ -26,25 +30,26 @@
   FairShares(const ShareContext& context, GroupNodes& nodes, SiblingOrder& order)
       : context_(context), nodes_(nodes), order_(order) {}
 
-  // Charges the leaf and all groups above it; `amount` in thread-seconds, negative: given back.
+  // Charges `amount` thread-seconds to the leaf and all groups above it. A negative amount is a refund.
   void charge(GroupNumber leaf, double amount, UsedBy used_by);
-  // The group, whose siblings go by weight, begins to wait; `first`: of the waiting siblings, the one whose
-  // turn it is.
+  // Sets the virtual time of a group that starts to wait. Its parent must have the fair policy. `first` is
+  // the first of the siblings that already wait, if any.
   void begin_to_wait(GroupNumber group, const std::optional<SiblingKey>& first);
-  // The first of the waiting children is at this virtual time.
+  // Raises the floor to the virtual time of the first waiting child. The floor is never lowered.
   void raise_floor(GroupNumber parent, double virtual_time);
   void note_idle(GroupNumber group) { nodes_[group].share.idle_since = context_.now; }
 
-  // A request comes to the leaf, or leaves it: groups with requests are those that share.
+  // Count a request that enters or leaves the leaf. Only groups with requests share the engine time.
   void count_request(GroupNumber leaf);
   void uncount_request(GroupNumber leaf);
   void set_weight(GroupNumber group, double weight);
 
-  // A group that was `before`, under a parent that was `parent_before`, goes on: what it owes its siblings,
-  // or they owe it, stays; a group that moved owes them as much.
+  // Copies the use and the offset from the floor of a group to its new node after a reload. `before` and
+  // `parent_before` are its old node and that of its old parent. A group that moved to another parent keeps
+  // the same offset from the new parent's floor.
   void carry_over(GroupNumber group, const GroupNode& before, const GroupNode& parent_before);
 
-  // Thread-seconds used lately, here and elsewhere, faded to now.
+  // Recently used thread-seconds, on this router and on others, decayed to `now`.
   static double recent(const GroupNode& node, Time now);
 
  private:
--- a/src/groups/group_directory.cpp
+++ b/src/groups/group_directory.cpp
@@ -8,10 +8,12 @@
 
 using namespace std::chrono_literals;
 
-// Between looks for made groups that are idle for long: far below any `made_idle` that operators mean.
+// Interval between searches for idle groups that were created on demand. It is far below any practical
+// `made_idle`.
 constexpr Time kSweepInterval = 1s;
 
-// Groups removed in one look. Each moves up its siblings: a few at a time, so that no decision waits for it.
+// Groups removed in one sweep. Each removal updates the positions of the following siblings, so the number is
+// small to keep decisions from waiting.
 constexpr std::size_t kRemovedPerSweep = 32;
 
 }  // namespace
@@ -70,7 +72,7 @@
   return from_template ? create(path) : find_by_former_path(path);
 }
 
-// Chosen by selectors that a reload has just replaced.
+// Resolves a path that was chosen by selectors which a reload has just replaced.
 GroupDirectory::Place GroupDirectory::find_by_former_path(std::string_view path) const {
   const auto former = former_leaves_.find(path);
   const auto* found = former == former_leaves_.end() ? nullptr : find(former->second);
--- a/src/groups/group_directory.hpp
+++ b/src/groups/group_directory.hpp
@@ -1,13 +1,14 @@
-// The groups by path: those of the tree, those that templates make on demand, and where the groups of the
-// tree before the last reload are now.
+// GroupDirectory finds the group of a path: groups of the tree, groups that are created on demand from
+// templates, and the new places of groups of the tree before the last reload.
 //
-// Rule: a request goes to a leaf, by its path. A path that a template named is made under a parent of the
-// tree, at most `most_made` at once; one without requests for `made_idle` is removed. A path that a reload
-// moved leads to the group's new place, for requests whose selectors were read before the reload.
+// A request enters a leaf by its path. A path that a template produced is created under a parent in the tree.
+// At most `most_made` such groups exist at once; a group without requests for `made_idle` is removed. A path
+// that a reload moved leads to the group's new place, because a request may have been matched by the
+// selectors before the reload. The result is the group's number, or the limit for which the request is
+// rejected.
 //
-// Inputs: paths. Output: the group's number, or the limit for which the request is rejected.
-// Failure: clients choose part of a made group's name, so the number of groups would follow what they send;
-// it shows as memory that grows. Guard: the bound, and removal when idle.
+// Clients choose a part of the name of a group created on demand. The bound and the removal of idle groups
+// keep the memory from growing with the names that clients send.
 #pragma once
 
 #include <map>
@@ -21,7 +22,8 @@
 
 namespace heronwell::groups {
 
-// Where requests of removed groups wait and run to their end; gone after the last of them.
+// Name of the group in which requests of removed groups wait and run until they end. It is removed after the
+// last of them.
 inline constexpr std::string_view kRemovedGroup = "removed";
 
 class GroupDirectory {
@@ -29,23 +31,27 @@
   GroupDirectory(const ShareContext& context, GroupNodes& nodes, SiblingOrder& order, ShareGossip& gossip)
       : context_(context), nodes_(nodes), order_(order), gossip_(gossip) {}
 
-  // Makes all nodes anew, from the tree.
+  // Replaces all nodes with new ones for the groups of the tree.
   void build(const Tree& tree);
-  // Where the leaves before a reload are now, by their old path.
+  // Sets the current paths of the leaves before the last reload, by their old path.
   void set_former_leaves(std::map<std::string, std::string, std::less<>> leaves) {
     former_leaves_ = std::move(leaves);
   }
 
-  [[nodiscard]] const GroupNumber* find(std::string_view path) const;  // null: no such group
+  [[nodiscard]] const GroupNumber* find(std::string_view path) const;  // null: there is no such group
   struct Place {
     GroupNumber group = kRootGroup;
-    Limit limit = Limit::none;  // else the request is rejected; counted in `group`
+    Limit limit = Limit::none;  // if not `none`, the request is rejected and counted in `group`
   };
-  // The leaf for a request; `made`: a template named the path, which may be made.
+  // Returns the leaf for a request. `from_template`: a template produced the path, so the group may be
+  // created.
   Place place(std::string_view path, bool from_template);
-  GroupNumber removed_group();
-  void remove_if_unused(GroupNumber leaf);  // one for requests of removed groups
-  void sweep();                             // removes made groups that are idle for long, now and then
+  GroupNumber removed_group();  // the group for requests of removed groups; creates it if needed
+  // Removes the leaf if it is the group for requests of removed groups and has none left.
+  void remove_if_unused(GroupNumber leaf);
+  // Removes groups created on demand that have been idle for `made_idle`. Does nothing if the last sweep is
+  // recent.
+  void sweep();
 
  private:
   GroupNumber append(Group group, GroupNumber parent);
@@ -58,7 +64,7 @@
   GroupNodes& nodes_;
   SiblingOrder& order_;
   ShareGossip& gossip_;
-  std::vector<GroupNumber> free_;  // numbers of removed groups
+  std::vector<GroupNumber> free_;  // numbers of removed groups, to be reused
   std::map<std::string, GroupNumber, std::less<>> by_path_;
   std::map<std::string, std::string, std::less<>> former_leaves_;
   std::size_t on_demand_count_ = 0;
--- a/src/groups/group_dispatch.cpp
+++ b/src/groups/group_dispatch.cpp
@@ -9,38 +9,40 @@
 
 using namespace std::chrono_literals;
 
-// Longest time for which a group that starts nothing is passed by. Bounds how long a group waits after its
-// engines come back, at a cost in idle threads of at most one patience in as long.
+// Longest time for which a group that starts nothing is skipped. It bounds how long a group waits after its
+// engines return. In each such period, threads idle for at most one `patience`.
 constexpr Time kMaxSkipTime = 8s;
 
-// A group had its chance when this many times the threads of its narrowest query became free. More than one,
-// since the decision engine may need some of them for a class of higher rank.
+// A group has had enough offers when this many times the threads of its smallest query became free. The value
+// exceeds 1 because the decision engine may need some of the threads for a class of higher rank.
 constexpr std::uint64_t kUnusedOffers = 4;
 
-// How long after that the group may still start a query: a tick of the decision engine, in which it chooses.
+// Time after that in which the group may still start a query: one tick of the decision engine.
 constexpr Time kOfferGrace = 20ms;
 
-// Children of one group whose patience runs at once, in sibling order, and how often they are looked at. Few
-// enough that the cost of an offer does not grow with the number of groups that wait.
+// Number of children of one group that can have a hold started at once, in sibling order, and the interval of
+// these checks. The bound keeps the cost of an offer independent of the number of waiting groups.
 constexpr std::size_t kHoldsPerParent = 16;
 constexpr Time kHoldsInterval = 50ms;
 
-// Leaves whose first requests are offered at once: the decision engine starts one and asks again, and may
-// choose the second where the first finds no engine.
+// Number of leaves whose first requests are offered at once. The decision engine starts one request and calls
+// again; it can take the second if the first finds no engine.
 constexpr std::size_t kOfferedLeaves = 2;
 
-// Requests of one leaf that are offered where ordering by key may hold back the first ones, and such leaves.
+// Number of requests per leaf, and of leaves, that are offered in a class with ordering keys, where the first
+// requests may have to wait for their key.
 constexpr std::size_t kOfferedPerOrderedLeaf = 8;
 constexpr std::size_t kOfferedOrderedLeaves = 8;
 
-// Shortest time to pass a group by, where operators set no patience: a time of zero would never grow.
+// Shortest skip time, used if `patience` is 0: a time of zero would not grow by doubling.
 constexpr Time kMinSkipTime = 1ms;
 
 }  // namespace
 
 void GroupDispatch::begin_to_wait(GroupNumber group) {
   auto& node = nodes_[group];
-  // Soon after the last, it is the same wait: what it could not start timed out, and others came for it.
+  // After a short idle time the hold continues: the requests that could not start have timed out, and new
+  // ones replaced them.
   if (context_.now > node.share.idle_since + kMaxSkipTime) node.hold = {};
 }
 
@@ -80,13 +82,13 @@
   return min_threads_needed;
 }
 
-// Begins to pass the group by where it had its chance.
+// Returns whether the group is skipped now. Starts a new skip period if the group did not use its offers.
 bool GroupDispatch::update_skipping(GroupNode& node) const {
   const auto now = context_.now;
   auto& hold = node.hold;
   if (hold.since == Time::zero()) return false;
   if (now < hold.skip_until) return true;
-  if (hold.skip_until > hold.since) {  // the others' time is over: it holds them back again
+  if (hold.skip_until > hold.since) {  // the skip period has ended, so the hold starts again
     hold.since = now;
     hold.freed_before = context_.freed_threads;
     hold.enough_freed_at = {};
@@ -121,7 +123,7 @@
   return first;
 }
 
-// How far in order a sibling may be and still go beside the first.
+// Returns the largest order with which a sibling may start requests beside the first child.
 double GroupDispatch::max_concurrent_order(const GroupNode& parent, const SiblingKey& first,
                                            double rate) const {
   switch (parent.settings.policy) {
@@ -153,7 +155,7 @@
   }
 }
 
-// `share`: threads of the fleet that are the parent's by weights.
+// `share` is the number of threads of the fleet to which the parent is entitled by the weights.
 void GroupDispatch::offer_children(GroupNumber parent, ClassIndex cls, double share) {
   auto& node = nodes_[parent];
   const auto& waiting = node.queue.waiting;
@@ -165,10 +167,10 @@
   if (first && first->after_minima && node.settings.policy == Policy::fair)
     shares_.raise_floor(parent, first->order);
   const double max_order = first ? max_concurrent_order(node, *first, rate) : 0;
-  const std::size_t most =
+  const std::size_t max_offered =
       context_.classes[cls].in_order ? kOfferedPerOrderedLeaf * kOfferedOrderedLeaves : kOfferedLeaves;
   for (const auto& key : waiting[cls]) {
-    if (offered_.size() >= most) return;
+    if (offered_.size() >= max_offered) return;
     if (first && key.after_minima && (!first->after_minima || key.order > max_order)) break;
     if (!limits_.at_ceiling(key.node, cls))
       offer_group(key.node, cls, rate * nodes_[key.node].settings.weight);
--- a/src/groups/group_dispatch.hpp
+++ b/src/groups/group_dispatch.hpp
@@ -1,16 +1,20 @@
-// Which queued requests of a class may go now: the dispatch order over the whole tree.
+// GroupDispatch decides which queued requests of a class may start now: the dispatch order over the whole
+// tree.
 //
-// Rule: from the root down, the first eligible child in sibling order goes, and with it those that are ahead
-// of it by no more than the slack (fair), those of its own place (strict) or all (first come); a child below
-// its minimum goes before all others. Children at their ceiling are passed over.
+// From the root down, the first eligible child in sibling order may start a request. Its siblings may start
+// requests beside it as their parent's policy allows: with `fair` those that are ahead by no more than the
+// slack, with `strict` none that follow it, with `first_come` all. A child that runs fewer threads
+// than its minimum precedes all others. A child at its ceiling is skipped.
 //
-// The first in order holds back those that are too far ahead, so that threads become free for it. It holds
-// them back only while it can use what becomes free. Failure: the first group waits for something else than
-// threads (an engine of its machine type, its ordering key) and all others wait behind it; it shows as idle
-// threads beside full queues. Guard: a group that started nothing although enough threads became free, or
-// threads stayed free for its patience, is passed by for a while, each time twice as long up to kMaxPassTime.
+// The first child in order holds back siblings that are too far ahead, so that threads become free for it. It
+// does so only while it can use the threads that become free. A group may wait for something other than
+// threads (an engine of its machine type, its ordering key), and all other groups would wait behind it; this
+// shows as idle threads beside full queues. Therefore a group is skipped for some time if it started nothing
+// although enough threads became free, or although threads were free for the duration of `patience`. The time
+// doubles with each repetition, up to kMaxSkipTime.
 //
-// Inputs: sibling order, ceilings, threads that became free. Output: request ids, in order, few at a time.
+// The inputs are the sibling order, the ceilings, and the number of threads that became free. The output is a
+// short list of request ids, in order.
 #pragma once
 
 #include <optional>
@@ -28,16 +32,17 @@
                 const GroupLimits& limits, FairShares& shares)
       : context_(context), nodes_(nodes), requests_(requests), limits_(limits), shares_(shares) {}
 
-  // Valid until the next call.
+  // Returns the requests of the class that may start now, in order. The list is valid until the next call.
   const std::vector<RequestId>& next_requests(ClassIndex cls);
-  // The child that goes before its siblings now, in any class; none: no child waits that may go.
+  // Returns the child that precedes its siblings now, in any class; none if no waiting child may start.
   std::optional<SiblingKey> first_in_order(GroupNumber parent);
 
-  // The group begins to wait again.
+  // Must be called when a group starts to wait. Clears its hold unless it was idle only briefly.
   void begin_to_wait(GroupNumber group);
-  // A queued request of the leaf has started: its groups hold nobody back until they are first again.
+  // Must be called when a queued request of the leaf has started. Clears the holds of the leaf and of all
+  // groups above it until they are first again.
   void started(GroupNumber leaf);
-  // This router stood still for so long: nobody's patience has run, since nothing was offered.
+  // Excludes the duration of a pause of this router from all holds, since no request was offered meanwhile.
   void exclude_pause(Time duration);
 
  private:
--- a/src/groups/group_limits.cpp
+++ b/src/groups/group_limits.cpp
@@ -21,7 +21,7 @@
     if (query.work && settings.query_work && *query.work > *settings.query_work) return Limit::query_work;
     if (query.memory_mb > std::min(settings.query_memory_mb, settings.max_memory_mb))
       return Limit::query_memory;
-    // A group that may queue nothing still takes a request that can start at once.
+    // A group with max_queued 0 still accepts a request that can start at once.
     const bool queue_full = node.queue.queued >= std::max<std::size_t>(1, settings.max_queued);
     if (queue_full || (settings.max_queued == 0 && at_ceiling(group, query.cls))) return Limit::queued;
   }
@@ -30,7 +30,7 @@
 
 bool GroupLimits::at_ceiling(GroupNumber group, ClassIndex cls) const {
   const auto& node = nodes_[group];
-  if (node.usage.running == 0) return false;  // what could never run was not admitted
+  if (node.usage.running == 0) return false;  // requests that could never run are not admitted
   return node.usage.running + context_.classes[cls].threads >
              node.settings.max_threads / context_.settings.gateways ||
          node.usage.memory_mb >= node.settings.max_memory_mb / context_.settings.gateways;
--- a/src/groups/group_node.hpp
+++ b/src/groups/group_node.hpp
@@ -1,5 +1,5 @@
-// A group as the shares know it: its settings and place in the tree, and one part for each module that
-// decides something about it. A part is written by the module that is named beside it, and read by all.
+// GroupNode holds the state of one group: its settings, its place in the tree, and one section for each class
+// that makes decisions about groups. Only the class named above a section writes to it; all may read it.
 #pragma once
 
 #include <compare>
@@ -17,10 +17,10 @@
 
 enum class Limit;
 
-using GroupNumber = std::uint32_t;  // index in GroupNodes; of a removed group: used again
+using GroupNumber = std::uint32_t;  // index in GroupNodes; the number of a removed group is reused
 constexpr GroupNumber kRootGroup = 0;
 
-// The order of siblings: those under their minimum first, then by policy, then by number.
+// The order of siblings: groups below their minimum first, then by the parent's policy, then by number.
 struct SiblingKey {
   bool after_minima = true;
   double order = 0;
@@ -30,9 +30,9 @@
 
 struct GroupNode {
   // ---- GroupDirectory ------------------------------------------------------------------------------------
-  Group settings;          // with what a schedule made of it
-  bool on_demand = false;  // by a template, or for requests of removed groups
-  bool live = true;        // false: removed, the number is free
+  Group settings;          // including changes by schedules
+  bool on_demand = false;  // created from a template, or for requests of removed groups
+  bool live = true;        // false: removed, the number can be reused
   GroupNumber parent = kRootGroup;
   std::vector<GroupNumber> children;
   std::size_t position = 0;  // among its parent's children
@@ -40,37 +40,37 @@
 
   // ---- FairShares ----------------------------------------------------------------------------------------
   struct Share {
-    double virtual_time = 0;    // engine time used over weight, against siblings; bounded around the floor
-    double floor = 0;           // virtual time of the waiting child that has used least; never falls
+    double virtual_time = 0;    // thread-seconds used per weight; bounded relative to the floor
+    double floor = 0;           // smallest virtual time of the waiting children; never decreases
     double child_weight = 0;    // of all children
     double active_weight = 0;   // of children with requests
     double used_here = 0;       // thread-seconds, on this router
-    double used_elsewhere = 0;  // thread-seconds, on others by their gossip
-    double recent = 0;          // thread-seconds, faded sum of both
-    Time recent_at{};           // when `recent` was last faded
-    std::size_t requests = 0;   // in it and below, queued or in flight
-    Time idle_since{};          // without a queued request
+    double used_elsewhere = 0;  // thread-seconds, on other routers as reported by gossip
+    double recent = 0;          // thread-seconds, decayed sum of both
+    Time recent_at{};           // when `recent` was last decayed
+    std::size_t requests = 0;   // in this group and below, queued or in flight
+    Time idle_since{};          // since when the group has no queued request
   } share;
 
   // ---- SiblingOrder --------------------------------------------------------------------------------------
   struct Queue {
-    SiblingKey key;          // its place among its siblings
-    std::size_t queued = 0;  // requests, in it and below
+    SiblingKey key;          // its place in the order of its siblings
+    std::size_t queued = 0;  // requests, in this group and below
     std::vector<std::uint32_t> queued_by_class;
     std::vector<std::set<SiblingKey>> waiting;  // children with queued requests, by class
-    std::vector<std::set<std::pair<std::uint64_t, RequestId>>>
-        requests;  // of a leaf, by class, as they arrived
+    // Requests of a leaf, by class, in order of arrival.
+    std::vector<std::set<std::pair<std::uint64_t, RequestId>>> requests;
   } queue;
 
   // ---- GroupDispatch -------------------------------------------------------------------------------------
   struct Hold {
-    Time since{};                    // holds others back since; zero: it does not
-    Time skip_until{};               // others go until
-    Time skip_time{};                // for so long the last time
+    Time since{};                    // since when it holds siblings back; zero: it does not
+    Time skip_until{};               // the group is skipped until then
+    Time skip_time{};                // length of the last skip period
     Time enough_freed_at{};          // when enough threads had become free; zero: not yet
-    std::uint64_t freed_before = 0;  // threads that had become free when it began to hold
+    std::uint64_t freed_before = 0;  // value of ShareContext::freed_threads at `since`
   } hold;
-  Time holds_started_at{};  // its children, whose patience runs
+  Time holds_started_at{};  // when holds of its children were last started
 
   // ---- GroupLimits ---------------------------------------------------------------------------------------
   struct Usage {
--- a/src/groups/group_request.hpp
+++ b/src/groups/group_request.hpp
@@ -1,4 +1,5 @@
-// A request as the shares know it, from its admission to its final answer and the end of its last attempt.
+// GroupRequest is the state of a request in the resource groups, from its admission until it has its final
+// answer and its last attempt has ended.
 #pragma once
 
 #include <algorithm>
@@ -12,18 +13,19 @@
 
 struct InFlightAttempt {
   Time sent{};
-  double charged = 0;  // thread-seconds, so far
+  double charged = 0;  // thread-seconds, until now
   bool ended = false;
 };
 
 struct GroupRequest {
   GroupNumber node = kRootGroup;  // the leaf
   Query query;
-  std::uint64_t arrival = 0;  // order among all requests
+  std::uint64_t arrival = 0;  // position in the order of arrival of all requests
   bool waiting = false;       // queued
   bool finished = false;      // has its final answer
   std::vector<InFlightAttempt> in_flight;
-  Time wait_deadline = Time::max(), run_deadline = Time::max();  // longest wait and run time of its groups
+  // From the wait and run time limits of its groups.
+  Time wait_deadline = Time::max(), run_deadline = Time::max();
   [[nodiscard]] bool running() const {
     return std::ranges::any_of(in_flight, [](const InFlightAttempt& one) { return !one.ended; });
   }
--- a/src/groups/group_view.cpp
+++ b/src/groups/group_view.cpp
@@ -8,7 +8,8 @@
 namespace heronwell::groups {
 namespace {
 
-// Least recent use that others are divided by, in thread-seconds: before the first query, all shares are 0.
+// Lower bound of the recent use of all groups, in thread-seconds. It prevents a division by zero before the
+// first query; all shares are then 0.
 constexpr double kMinRecentUse = 1e-9;
 
 }  // namespace
@@ -23,7 +24,7 @@
   return std::nullopt;
 }
 
-GroupView GroupViews::view(GroupNumber group, double recent_of_all) const {
+GroupView GroupViews::view(GroupNumber group, double total_recent) const {
   const auto& node = nodes_[group];
   GroupView view;
   view.path = node.settings.path;
@@ -33,9 +34,9 @@
   view.min_threads = node.settings.min_threads;
   view.max_threads = node.settings.max_threads;
   view.share_set = 1;
-  for (auto at = group; at != kRootGroup; at = nodes_[at].parent)
-    view.share_set *= nodes_[at].settings.weight / nodes_[nodes_[at].parent].share.child_weight;
-  view.share_got = FairShares::recent(node, context_.now) / recent_of_all;
+  for (auto ancestor = group; ancestor != kRootGroup; ancestor = nodes_[ancestor].parent)
+    view.share_set *= nodes_[ancestor].settings.weight / nodes_[nodes_[ancestor].parent].share.child_weight;
+  view.share_got = FairShares::recent(node, context_.now) / total_recent;
   view.lent = view.share_set - view.share_got;
   view.used_s = node.share.used_here;
   view.used_elsewhere_s = node.share.used_elsewhere;
@@ -45,16 +46,16 @@
   return view;
 }
 
-bool GroupViews::scan(GroupNumber& next, std::size_t most, std::vector<GroupView>& views) const {
-  const double recent_of_all = std::max(kMinRecentUse, FairShares::recent(nodes_[kRootGroup], context_.now));
+bool GroupViews::scan(GroupNumber& next, std::size_t max_count, std::vector<GroupView>& views) const {
+  const double total_recent = std::max(kMinRecentUse, FairShares::recent(nodes_[kRootGroup], context_.now));
   for (std::optional<GroupNumber> group = next; group; group = after(*group)) {
     next = *group;
     if (*group >= nodes_.size() || !nodes_[*group].live) {
       next = kRootGroup;
       return true;
     }
-    if (most-- == 0) return true;
-    views.push_back(view(*group, recent_of_all));
+    if (max_count-- == 0) return true;
+    views.push_back(view(*group, total_recent));
   }
   return false;
 }
--- a/src/groups/plan.hpp
+++ b/src/groups/plan.hpp
@@ -1,5 +1,5 @@
-// What an operator writes about groups, read and checked whole: the tree, who belongs where, schedules, and
-// how shares are kept. docs/operators/groups.md explains each key.
+// Plan is the operator's configuration of resource groups: the tree, the selectors, the schedules and the
+// settings of the shares. It is read and validated as a whole. docs/operators/groups.md explains each key.
 #pragma once
 
 #include <string>
@@ -16,8 +16,8 @@
   Selectors selectors;
   Schedules schedules;
   ShareSettings settings;
-  std::string text;  // as written, in one line of YAML
-  std::string file;  // where it stands by itself, to be read again when it changes; "": in the configuration
+  std::string text;  // the configuration text, in one line of YAML
+  std::string file;  // its own file, re-read on change; "": part of the router configuration
 
   // Throws yaml::Error.
   static Plan read(yaml::Section& section);
--- a/src/groups/query_costs.cpp
+++ b/src/groups/query_costs.cpp
@@ -5,22 +5,23 @@
 namespace heronwell::groups {
 namespace {
 
-// Weight of one ended query in its class's mean. Some twenty queries: a class that becomes slower is charged
-// for it within seconds, and one long report does not change what the next one is charged.
+// Weight of one ended query in the mean of its class, which thus covers about twenty queries. The charges of
+// a class that becomes slower follow within seconds, and one long report hardly changes the next charge.
 constexpr double kMeanStepRatio = 0.05;
 
-// Seconds that a query of a class is charged for, on each of its threads, before any has ended.
-// Between a lookup and a report; the difference is settled when the query ends.
+// Assumed duration of a query, in seconds, before any query of its class has ended. It is between the
+// durations of a lookup and a report; the difference is corrected when the query ends.
 constexpr double kInitialCostSeconds = 0.1;
 
-// Largest query, as a multiple of its class's mean, that counts in full. Bounds what a wrong estimate of the
-// client charges its group, and what one stuck query does to the mean.
+// Largest engine time, as a multiple of the class mean, that is counted in full. It bounds the charge caused
+// by a client's wrong estimate and the effect of one stuck query on the mean.
 constexpr double kMaxSizeRatio = 40;
 
-// The same for estimates, which clients write: their mean moves by no more than this ratio of itself at once.
+// Largest estimate, as a multiple of the mean estimate, that is counted in full. It is lower because clients
+// supply the estimates.
 constexpr double kMaxEstimateRatio = 3;
 
-// 0: none.
+// Seconds of work as estimated by the client; 0 if there is no estimate.
 double estimate_of(const Query& query) { return std::max(0.0, seconds(query.work.value_or(Time::zero()))); }
 
 }  // namespace
--- a/src/groups/query_costs.hpp
+++ b/src/groups/query_costs.hpp
@@ -1,12 +1,11 @@
-// What a query is expected to cost: the engine time that it is charged when it starts.
+// QueryCosts estimates the engine time of a query, which is charged to its group when the query starts.
 //
-// Rule: the mean engine time of its class's ended queries; where it has an estimate of its work, in
-// proportion to that against the mean of its class's estimates. What it really takes is charged as it runs
-// and ends.
+// The estimate is the mean engine time of the ended queries of its class. If the query has an estimate of its
+// work, the mean is scaled by the ratio of that estimate to the mean estimate of the class. The actual engine
+// time is charged while the query runs and when it ends. All values are in thread-seconds.
 //
-// Inputs and output: thread-seconds. Failure: a group that starts many queries at once is charged for none of
-// them before the first ends, and starts more than its share; it shows as bursts by one group. Guard: each
-// start is charged what such a query is expected to take.
+// Charging at the start prevents bursts by one group: otherwise a group that starts many queries at once
+// would not be charged before the first one ends, and would start more than its share.
 #pragma once
 
 #include <vector>
@@ -21,12 +20,12 @@
       : context_(context), mean_(context.classes.size()), mean_estimate_(context.classes.size()) {}
 
   [[nodiscard]] double expected(const Query& query) const;  // thread-seconds
-  // The query ended after so much engine time, in thread-seconds.
+  // Updates the means with an ended query that used `used` thread-seconds.
   void learn(const Query& query, double used);
 
  private:
   const ShareContext& context_;
-  std::vector<double> mean_, mean_estimate_;  // by class, thread-seconds; 0: none ended yet
+  std::vector<double> mean_, mean_estimate_;  // by class, thread-seconds; 0: no query has ended yet
 };
 
 }  // namespace heronwell::groups
--- a/src/groups/selector.cpp
+++ b/src/groups/selector.cpp
@@ -11,11 +11,11 @@
 namespace heronwell::groups {
 namespace {
 
-// Memory of one compiled pattern. Bounds what a pattern of an operator costs on each router; RE2 rejects a
-// larger one when the configuration is read.
+// Memory limit of one compiled pattern, on each router. RE2 rejects a larger pattern when the configuration
+// is read.
 constexpr std::int64_t kMaxPatternBytes = 1 << 20;
 
-// Bytes of one name in a group's path, so that paths stay readable in metrics and logs.
+// Maximum length of one name in a group's path, so that paths stay readable in metrics and logs.
 constexpr std::size_t kMaxNameBytes = 64;
 
 const std::vector<std::string> kAttributes{"class",     "tenant",  "operation", "field",
@@ -25,7 +25,7 @@
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '_' || c == '-';
 }
 
-// The names within ${...}; empty: a "${" that never ends.
+// Returns the names within ${...}, or nullopt if a "${" is not closed.
 std::optional<std::vector<std::string>> placeholders(std::string_view path) {
   std::vector<std::string> names;
   for (auto at = path.find("${"); at != std::string_view::npos; at = path.find("${", at)) {
@@ -37,7 +37,7 @@
   return names;
 }
 
-// A group's path: names of letters, digits, _ and - between dots.
+// Whether the text is a group's path: names of letters, digits, _ and -, separated by dots.
 bool is_valid_path(std::string_view path) {
   std::size_t length = 0;
   for (const char c : path) {
@@ -50,7 +50,7 @@
   return length > 0;
 }
 
-// What the request has of an attribute; those that may be several are all given.
+// Returns all values that the request has for an attribute.
 std::vector<std::string_view> values(const RequestAttributes& r, std::string_view attribute) {
   const auto one = [](const std::string& text) {
     return text.empty() ? std::vector<std::string_view>{} : std::vector<std::string_view>{text};
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-// ---- texts and networks --------------------------------------------------------------------------------
+// ---- matching of texts and networks --------------------------------------------------------------------
 struct TextMatcher::Pattern {
   explicit Pattern(const std::string& text, const RE2::Options& options) : re(text, options) {}
   RE2 re;
@@ -81,7 +81,7 @@
       return match;
     case Shape::list:
       for (auto& text : section.strings(key)) match.any_.insert(std::move(text));
-      if (match.any_.empty()) section.fail(key, "expected at least one text");
+      if (match.any_.empty()) section.fail(key, "expected at least one string");
       return match;
     case Shape::mapping: {
       auto inner = section.section(key);
@@ -91,14 +91,14 @@
       const auto text = inner.string("pattern");
       match.pattern_ = std::make_shared<const Pattern>(text, options);
       if (!match.pattern_->re.ok())
-        inner.fail("pattern", "expected a pattern of RE2: " + match.pattern_->re.error());
+        inner.fail("pattern", "expected an RE2 pattern: " + match.pattern_->re.error());
       inner.close();
       return match;
     }
     case Shape::none:
       break;
   }
-  section.fail(key, "expected a text, a list of texts, or {pattern: ...}");
+  section.fail(key, "expected a string, a list of strings, or {pattern: ...}");
 }
 
 bool TextMatcher::matches(std::string_view text, std::map<std::string, std::string>& captured) const {
@@ -134,15 +134,15 @@
   network.v6 = address.find(':') != std::string::npos;
   if (inet_pton(network.v6 ? AF_INET6 : AF_INET, address.c_str(), network.bytes.data()) != 1)
     return std::nullopt;
-  const unsigned most = network.v6 ? 128 : 32;
-  network.bits = most;
+  const unsigned max_bits = network.v6 ? 128 : 32;
+  network.bits = max_bits;
   if (slash == std::string_view::npos) return network;
   const auto digits = text.substr(slash + 1);
   const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), network.bits);
-  if (error != std::errc{} || end != digits.data() + digits.size() || network.bits > most)
+  if (error != std::errc{} || end != digits.data() + digits.size() || network.bits > max_bits)
     return std::nullopt;
-  // Bits past the prefix would be a slip of the pen.
-  for (unsigned bit = network.bits; bit < most; ++bit)
+  // Bits set after the prefix are most likely a typing error.
+  for (unsigned bit = network.bits; bit < max_bits; ++bit)
     if ((network.bytes[bit / 8] >> (7 - bit % 8) & 1) != 0) return std::nullopt;
   return network;
 }
@@ -150,7 +150,7 @@
 bool Network::contains(std::string_view address) const {
   std::string text(address);
   if (!v6 && text.starts_with("::ffff:") && text.find('.') != std::string::npos)
-    text.erase(0, 7);  // IPv4 in IPv6
+    text.erase(0, 7);  // IPv4 address mapped into IPv6
   std::array<std::uint8_t, 16> other{};
   if (inet_pton(v6 ? AF_INET6 : AF_INET, text.c_str(), other.data()) != 1) return false;
   const auto complete_bytes = bits / 8;
@@ -184,8 +184,8 @@
 // ---- reading rules -------------------------------------------------------------------------------------
 namespace {
 
-// A group named by a rule or as the default must be a leaf of the tree; one named by a template needs its
-// parent there. Without a tree nothing is checked.
+// Checks that a group named by a rule or as the default is a leaf of the tree, and that the parent of a
+// template exists there. Without a tree, nothing is checked.
 void check_in_tree(yaml::Section& at, const std::string& key, const std::string& path, const Tree* tree) {
   if (tree == nullptr) return;
   const auto placeholder = path.find("${");
@@ -194,14 +194,16 @@
   if (is_template && path.find('.', placeholder) != std::string::npos)
     at.fail(key, "expected ${...} in the last name of the path only");
   const auto fixed = dot == std::string::npos ? std::string() : path.substr(0, dot);
-  if (fixed.empty() && is_template) return;  // made under the root
+  if (fixed.empty() && is_template) return;  // the group is created under the root
   const auto* group = tree->find(fixed);
   if (group == nullptr) at.fail(key, fmt::format("the tree has no group \"{}\"", fixed));
   if (!is_template && !group->children.empty())
-    at.fail(key, fmt::format("\"{}\" has children; queries wait and run in groups without any", fixed));
+    at.fail(key, fmt::format("\"{}\" has children; queries can be assigned only to groups without children",
+                             fixed));
 }
 
-// The attributes that the rule asks for; they and the names their patterns capture are added to `known`.
+// Reads the rule's conditions on attributes. Adds the attributes and the captures of their patterns to
+// `known`.
 void read_attributes(yaml::Section& section, Rule& rule, std::set<std::string>& known) {
   for (const auto& attribute : kAttributes) {
     if (!section.has(attribute)) continue;
@@ -214,8 +216,7 @@
 void read_headers(yaml::Section& section, Rule& rule, std::set<std::string>& known) {
   if (!section.has("header")) return;
   auto headers = section.section("header");
-  if (headers.keys().empty())
-    section.fail("header", "expected names of header fields with what they must be");
+  if (headers.keys().empty()) section.fail("header", "expected names of header fields with their conditions");
   for (const auto& key : headers.keys()) {
     auto name = key;
     std::ranges::transform(name, name.begin(),
@@ -237,21 +238,24 @@
   if (rule.networks.empty()) section.fail("network", "expected at least one network");
 }
 
-// The group's path is well formed once its placeholders are filled, and each of them is known.
+// Checks that each placeholder in the group's path is known and that the path is valid once they are filled
+// in.
 void check_path(yaml::Section& section, Rule& rule, const std::set<std::string>& known) {
   const auto names = placeholders(rule.group);
-  if (!names) section.fail("group", R"(a "${" without its "}")");
+  if (!names) section.fail("group", R"("${" without a closing "}")");
   auto filled = rule.group;
   for (const auto& name : *names) {
     if (!known.contains(name))
       section.fail(
           "group",
-          fmt::format("\"${{{}}}\" is no attribute that this rule asks for, nor a pattern's capture", name));
+          fmt::format(
+              "\"${{{}}}\" is neither an attribute in a condition of this rule nor a capture of its patterns",
+              name));
     const auto placeholder = "${" + name + "}";
     filled.replace(filled.find(placeholder), placeholder.size(), "x");
   }
   if (!is_valid_path(filled))
-    section.fail("group", "expected names of letters, digits, _ and - between dots");
+    section.fail("group", "expected names of letters, digits, _ and -, separated by dots");
   rule.creates_group = !names->empty();
 }
 
@@ -278,13 +282,13 @@
   all.default_ = section.string("default", "");
   if (all.default_.empty()) return all;
   if (!is_valid_path(all.default_))
-    section.fail("default", "expected names of letters, digits, _ and - between dots");
+    section.fail("default", "expected names of letters, digits, _ and -, separated by dots");
   check_in_tree(section, "default", all.default_, tree);
   return all;
 }
 
 // ---- choosing ------------------------------------------------------------------------------------------
-// What does not fit; empty: all does.
+// Describes the first condition that is not met; empty if the rule matches.
 std::string Selectors::mismatch(const Rule& rule, const RequestAttributes& request,
                                 std::map<std::string, std::string>& captured) const {
   const auto shown = [](std::string_view text) {
@@ -295,8 +299,9 @@
   };
   if (!request.subject.empty() && !has_condition_on("subject") &&
       (!rule.headers.empty() || has_condition_on("tag")))
-    return fmt::format("subject is \"{}\", beside whom a claim in header or tag does not count",
-                       request.subject);
+    return fmt::format(
+        "subject is \"{}\"; a header or tag does not count unless the rule also tests the subject",
+        request.subject);
   for (const auto& [attribute, match] : rule.attributes) {
     const auto all = values(request, attribute);
     const auto found =
@@ -330,11 +335,12 @@
                                   const std::map<std::string, std::string>& captured) const {
   GroupSelection chosen{rule.group, rule.number, rule.creates_group, ""};
   const auto names =
-      placeholders(rule.group).value_or(std::vector<std::string>());  // checked when it was read
+      placeholders(rule.group).value_or(std::vector<std::string>());  // checked when the rule was read
   for (const auto& name : names) {
     const auto placeholder = "${" + name + "}";
     const auto& text = captured.at(name);
-    // One name of a path, never a path of its own: else a client could place itself anywhere in the tree.
+    // A value may fill only one name of the path. A value with dots would let a client choose any group of
+    // the tree.
     if (text.empty() || text.size() > kMaxNameBytes || !std::ranges::all_of(text, is_name_char)) {
       chosen.reason = fmt::format("selector {}: ${{{}}} is \"{}\", which can't be part of a group's name",
                                   rule.number, name, text.substr(0, kMaxNameBytes));
@@ -361,9 +367,9 @@
   std::string out;
   for (const auto& rule : rules_) {
     std::map<std::string, std::string> captured;
-    const auto wrong = mismatch(rule, request, captured);
-    if (!wrong.empty()) {
-      out += fmt::format("selector {}: {}\n", rule.number, wrong);
+    const auto failed_condition = mismatch(rule, request, captured);
+    if (!failed_condition.empty()) {
+      out += fmt::format("selector {}: {}\n", rule.number, failed_condition);
       continue;
     }
     const auto chosen = fill_in(rule, captured);
@@ -377,12 +383,12 @@
                     : fmt::format("no selector matches: the default\ngroup {}\n", chosen.group));
 }
 
-// ---- groups that templates make ------------------------------------------------------------------------
+// ---- groups created on demand ------------------------------------------------------------------------
 bool OnDemandGroups::enter(Time now, const std::string& group) {
   const auto found = groups_.find(group);
   if (found == groups_.end()) {
-    if (groups_.size() >= most_) (void)sweep(now);
-    if (groups_.size() >= most_) return false;
+    if (groups_.size() >= max_groups_) (void)sweep(now);
+    if (groups_.size() >= max_groups_) return false;
     groups_[group].requests = 1;
     return true;
   }
--- a/src/groups/selector.hpp
+++ b/src/groups/selector.hpp
@@ -1,5 +1,6 @@
-// Selectors: which group of the tree a request belongs to. Rules are tried in order, the first that matches
-// names the group; nothing falls to the root in silence. No I/O and no clock.
+// Selectors choose the group of the tree to which a request belongs. The rules are tried in order; the first
+// one that matches names the group. A request that matches no rule gets the default group or is rejected,
+// never assigned to the root. No I/O, no clock.
 //
 //   selectors:
 //     - {class: report, tenant: [harbour, station], group: reports}
@@ -26,77 +27,84 @@
 
 namespace heronwell::groups {
 
-// What is known of a request. Empty texts: not known.
+// The attributes of a request that rules can test. An empty string means that the attribute is unknown.
 struct RequestAttributes {
   std::string cls, tenant;
-  std::string operation;                 // GraphQL operation's name
-  std::vector<std::string> root_fields;  // of its document
+  std::string operation;                 // name of the GraphQL operation
+  std::vector<std::string> root_fields;  // root fields of the GraphQL document
   std::string statement;                 // first word of the SQL, in lower case: select, insert ...
-  std::string subject;                   // as authenticated; never what a header claims
-  std::string address;                   // of the client, IPv4 or IPv6
-  std::vector<std::string> tags;         // of the client
-  std::function<std::optional<std::string>(std::string_view)> header;  // by lower-case name
+  std::string subject;                   // the authenticated subject, never one claimed by a header
+  std::string address;                   // IPv4 or IPv6 address of the client
+  std::vector<std::string> tags;         // tags sent by the client
+  // Looks up a header field by its lower-case name.
+  std::function<std::optional<std::string>(std::string_view)> header;
 };
 
-// The first word of a statement, in lower case, comments passed over; "" if it begins with none.
+// Returns the first word of a SQL statement in lower case, skipping comments; "" if it does not begin with a
+// letter.
 std::string first_word(std::string_view statement);
 
-// A text against one text, a set of them, or a pattern (RE2: linear in the text) that matches all of it.
+// TextMatcher matches a text against one string, a set of strings, or an RE2 pattern that must match the
+// whole text. RE2 takes time linear in the length of the text.
 class TextMatcher {
  public:
-  // Throws yaml::Error with the place. Scalar: exactly it; list: one of them; {pattern: "..."}: RE2.
+  // Reads a condition: a scalar must be equal, of a list one element must be equal, {pattern: "..."} must
+  // match. Throws yaml::Error with the position.
   static TextMatcher read(yaml::Section& section, const std::string& key);
 
-  // `captured`: texts of a pattern's named groups, added.
+  // Whether the text matches. Adds the text of each named capture of the pattern to `captured`.
   [[nodiscard]] bool matches(std::string_view text, std::map<std::string, std::string>& captured) const;
   [[nodiscard]] std::string description() const;
-  [[nodiscard]] std::vector<std::string> capture_names() const;  // of a pattern's named groups
+  [[nodiscard]] std::vector<std::string> capture_names() const;  // names of the captures of the pattern
 
  private:
   struct Pattern;
   std::set<std::string, std::less<>> any_;
-  std::shared_ptr<const Pattern> pattern_;  // null: any_
+  std::shared_ptr<const Pattern> pattern_;  // null: any_ applies
 };
 
 struct Network {
   std::array<std::uint8_t, 16> bytes{};
-  unsigned bits = 0;  // that count
+  unsigned bits = 0;  // length of the prefix
   bool v6 = false;
-  static std::optional<Network> read(std::string_view text);  // "10.0.0.0/8", "2001:db8::/32", or one address
+  // Reads "10.0.0.0/8", "2001:db8::/32" or a single address; nullopt if the text is invalid.
+  static std::optional<Network> read(std::string_view text);
   [[nodiscard]] bool contains(std::string_view address) const;
 };
 
-// What a client only claims (header fields, tags) counts where nobody has authenticated it, or where the rule
-// also names the subject: no client takes another's place by a claim.
+// A rule assigns the requests that meet all of its conditions to a group. Conditions on header fields and
+// tags, which a client can set freely, apply only to clients without an authenticated subject, or in rules
+// that also test the subject. A client therefore cannot enter another client's group by a false claim.
 struct Rule {
-  unsigned number = 0;  // from 1, as written
-  std::vector<std::pair<std::string, TextMatcher>>
-      attributes;  // by attribute: class, tenant, operation, field ...
+  unsigned number = 0;  // position in the configuration, from 1
+  // Conditions by attribute name: class, tenant, operation, field ...
+  std::vector<std::pair<std::string, TextMatcher>> attributes;
   std::vector<std::pair<std::string, TextMatcher>> headers;
   std::vector<Network> networks;
-  std::string group;           // path, with ${name} for attributes and captures
-  bool creates_group = false;  // it has some: the group is made on demand
+  std::string group;           // path; may contain ${name} for attributes and captures
+  bool creates_group = false;  // the path contains ${name}: the group is created on demand
 };
 
+// The result of Selectors::choose.
 struct GroupSelection {
-  std::string group;           // path; empty: none, see `reason`
-  unsigned rule = 0;           // 0: the default
+  std::string group;           // path; empty: no group, see `reason`
+  unsigned rule = 0;           // number of the rule; 0: the default group
   bool from_template = false;  // the path was filled in from a template
   std::string reason;
 };
 
 class Selectors {
  public:
-  // Reads "selectors" and "default" of a section. Throws yaml::Error: unknown attributes, bad patterns and
-  // networks, ${names} that the rule does not give; with a tree also groups that it does not have, or that
-  // have children, and templates without a parent in it.
+  // Reads the keys "selectors" and "default" of a section. Throws yaml::Error for unknown attributes, invalid
+  // patterns and networks, and a ${name} that the rule does not define. With a tree, it also throws for a
+  // group that is missing in the tree or has children, and for a template whose parent is missing.
   static Selectors read(yaml::Section& section, const Tree* tree = nullptr);
 
   [[nodiscard]] GroupSelection choose(const RequestAttributes& request) const;
-  // For people: each rule up to the one that matched, and what did not fit.
+  // Describes for operators each rule up to the one that matched, with the condition that was not met.
   [[nodiscard]] std::string explain(const RequestAttributes& request) const;
   [[nodiscard]] const std::vector<Rule>& rules() const { return rules_; }
-  // Names of the header fields that rules look at, in lower case.
+  // Names of the header fields that rules test, in lower case.
   [[nodiscard]] std::vector<std::string> headers() const;
 
  private:
@@ -109,25 +117,25 @@
   std::string default_;
 };
 
-// Groups that templates make on demand: at most so many, gone once idle for so long.
+// OnDemandGroups tracks groups created from templates. It limits their number and removes idle ones.
 class OnDemandGroups {
  public:
-  OnDemandGroups(std::size_t most, Time idle) : most_(most), idle_(idle) {}
+  OnDemandGroups(std::size_t max_groups, Time idle) : max_groups_(max_groups), idle_(idle) {}
 
-  // A request enters the group; false: as many groups as may be made exist, and the request must be
-  // rejected.
+  // Counts a request that enters the group. Returns false if the group is new and the limit is reached; the
+  // request must then be rejected.
   bool enter(Time now, const std::string& group);
   void leave(Time now, const std::string& group);
-  // Removes and returns those idle for long enough, the longest idle first.
+  // Removes and returns the groups that were idle for long enough, the longest idle first.
   std::vector<std::string> sweep(Time now);
   [[nodiscard]] std::size_t size() const { return groups_.size(); }
 
  private:
   struct Use {
     std::size_t requests = 0;
-    Time since{};  // idle since
+    Time since{};  // start of the idle time
   };
-  std::size_t most_;
+  std::size_t max_groups_;
   Time idle_;
   std::map<std::string, Use> groups_;
   std::set<std::pair<Time, std::string>> idle_since_;
--- a/src/groups/share_gossip.cpp
+++ b/src/groups/share_gossip.cpp
@@ -12,12 +12,13 @@
 
 using namespace std::chrono_literals;
 
-// A router unheard of for so long counts no more in the fleet's threads. Many messages, so that lost ones
-// don't change the shares; no longer than an operator waits to see a dead router's threads taken from the
-// sum.
-constexpr Time kRouterLifetime = 60s;
+// A router that sent no message for this time is not counted in the fleet's threads. The time covers many
+// messages, so that lost ones do not change the shares, but is short enough for an operator to see a dead
+// router's threads leave the sum soon.
+constexpr Time kRouterTimeout = 60s;
 
-constexpr std::size_t kNumberBytes = 6;  // of a hash, and of a sum: of thread-milliseconds, enough for good
+// Bytes of a hash and of a sum in thread-milliseconds, which does not overflow them in practice.
+constexpr std::size_t kNumberBytes = 6;
 constexpr std::size_t kHeaderBytes = 1 + 8;
 constexpr std::size_t kEntryBytes = kNumberBytes + kNumberBytes;
 constexpr double kMillisecondsPerSecond = 1000;
@@ -36,7 +37,7 @@
 
 }  // namespace
 
-void ShareGossip::begin(Time now) {
+void ShareGossip::start_sums(Time now) {
   if (sums_epoch_ == 0) sums_epoch_ = static_cast<std::uint64_t>(now.count()) | 1;
 }
 
@@ -57,7 +58,7 @@
 
 std::size_t ShareGossip::live_routers() const {
   return static_cast<std::size_t>(std::ranges::count_if(
-      received_, [this](const auto& one) { return context_.now <= one.second.last + kRouterLifetime; }));
+      received_, [this](const auto& one) { return context_.now <= one.second.last + kRouterTimeout; }));
 }
 
 std::string ShareGossip::next_message() {
@@ -76,9 +77,9 @@
   return text;
 }
 
-std::vector<std::string> ShareGossip::messages(std::size_t most) {
+std::vector<std::string> ShareGossip::messages(std::size_t max_count) {
   std::vector<std::string> all;
-  while (!changed_.empty() && all.size() < most) all.push_back(next_message());
+  while (!changed_.empty() && all.size() < max_count) all.push_back(next_message());
   return all;
 }
 
@@ -96,9 +97,10 @@
     const auto before = sender.sums.find(hash);
     const auto group = by_hash_.find(hash);
     if (before != sender.sums.end() && group != by_hash_.end() && nodes_[group->second].leaf()) {
-      // Signed: a message that was overtaken gives back what the one after it charged.
-      const auto more = static_cast<std::int64_t>(sum - before->second);
-      used.push_back({group->second, static_cast<double>(more) / kMillisecondsPerSecond});
+      // The difference is signed: a message that arrives after a newer one refunds what the newer one
+      // charged.
+      const auto difference = static_cast<std::int64_t>(sum - before->second);
+      used.push_back({group->second, static_cast<double>(difference) / kMillisecondsPerSecond});
     }
     sender.sums[hash] = sum;
   }
--- a/src/groups/share_gossip.hpp
+++ b/src/groups/share_gossip.hpp
@@ -1,14 +1,17 @@
-// Engine time used, from router to router, so that all hold back the same groups.
+// ShareGossip exchanges the used engine time of groups between routers, so that all routers hold back the
+// same groups.
 //
-// Rule: a message carries running sums of engine time by group, those of groups that changed, not sent for
-// longest first. A receiver charges the difference to the last sum of that sender; the first sum of a sender,
-// or of one that restarted, charges nothing.
+// A message carries running sums of engine time by group. It contains only groups whose sum changed; the ones
+// that were not sent for the longest time come first. The receiver charges the difference from the previous
+// sum of the same sender. The first sum of a sender, or of a restarted sender, charges nothing.
 //
-// Inputs: thread-seconds of groups; messages of at most kMaxMessageBytes. Output: messages; thread-seconds
-// used elsewhere by group. On the wire: kFirstByte, 8 bytes that name the start of the sums, then for each
-// group 6 bytes of its path's hash and 6 of its sum in thread-milliseconds. Failure: datagrams are lost, come
-// twice or late; with differences in them, a group would stay undercharged or be charged twice on that router
-// for good. Guard: sums, so that the next message makes good for a lost one.
+// The input is thread-seconds by group and messages of at most kMaxMessageBytes; the output is messages and
+// the thread-seconds used elsewhere by group. The format on the wire: kFirstByte, 8 bytes that identify the
+// start of the sums, then for each group 6 bytes of the hash of its path and 6 bytes of its sum in
+// thread-milliseconds.
+//
+// Datagrams can be lost, duplicated or delayed. With differences in the messages, a group would remain
+// undercharged or overcharged on that router forever; with sums, the next message corrects the error.
 #pragma once
 
 #include <cstddef>
@@ -26,28 +29,29 @@
 
 class ShareGossip {
  public:
-  static constexpr std::size_t kMaxMessageBytes =
-      256;                                 // a fraction of a datagram, beside the decision engine's
-  static constexpr char kFirstByte = 'g';  // the decision engine's begin with others
+  // A fraction of a datagram; the messages are sent in addition to those of the decision engine.
+  static constexpr std::size_t kMaxMessageBytes = 256;
+  static constexpr char kFirstByte = 'g';  // differs from the first bytes of the decision engine's messages
 
   ShareGossip(const ShareContext& context, GroupNodes& nodes) : context_(context), nodes_(nodes) {}
 
-  // The sums of this router begin at its first time; later calls change nothing.
-  void begin(Time now);
+  // Sets the identifier of this router's sums to the time of the first call. Later calls have no effect.
+  void start_sums(Time now);
   void add_group(GroupNumber group);
   void remove_group(GroupNumber group);
   void clear_groups();
-  // The engine time used here by the leaf has changed.
-  void changed(GroupNumber leaf) { changed_.insert({nodes_[leaf].last_gossip_message, leaf}); }
+  // Must be called when the engine time used by the leaf on this router has changed.
+  void mark_changed(GroupNumber leaf) { changed_.insert({nodes_[leaf].last_gossip_message, leaf}); }
 
-  std::vector<std::string> messages(std::size_t most);
+  // Returns up to `max_count` messages about changed groups.
+  std::vector<std::string> messages(std::size_t max_count);
   struct Used {
     GroupNumber leaf = kRootGroup;
     double thread_seconds = 0;
   };
-  // What was used on the sender since its last message; nothing of one that is malformed.
+  // Returns the engine time used on the sender since its last message. A malformed message is ignored.
   std::vector<Used> receive(std::uint32_t from, std::string_view bytes);
-  // Routers that were heard from lately.
+  // Number of other routers from which a message was received recently.
   [[nodiscard]] std::size_t live_routers() const;
 
  private:
@@ -61,10 +65,11 @@
   const ShareContext& context_;
   GroupNodes& nodes_;
   std::map<std::uint64_t, GroupNumber> by_hash_;
-  std::set<std::pair<std::uint64_t, GroupNumber>> changed_;  // by the message that last carried the group
-  std::map<std::uint32_t, Received> received_;               // by router
+  // Ordered by the number of the message that last carried the group.
+  std::set<std::pair<std::uint64_t, GroupNumber>> changed_;
+  std::map<std::uint32_t, Received> received_;  // by router
   std::uint64_t messages_sent_ = 0;
-  std::uint64_t sums_epoch_ = 0;  // 0: not yet
+  std::uint64_t sums_epoch_ = 0;  // 0: not set yet
 };
 
 }  // namespace heronwell::groups
--- a/src/groups/share_settings.cpp
+++ b/src/groups/share_settings.cpp
@@ -7,30 +7,30 @@
 
 using namespace std::chrono_literals;
 
-// Most that operators may set. Longer ones would make a share that is not held within a shift on call.
-constexpr Time kMaxSlack = 10s;     // the slack is time that another group waits
-constexpr Time kMaxPatience = 10s;  // threads may idle for so long
-constexpr Time kMaxCredit = 60s;    // a group that comes back may run alone for so long
-constexpr Time kMaxDebt = 1h;       // a group that was ahead may wait for so long
-constexpr Time kMaxFade = 1h;       // beyond, credit and debt would be of another day's traffic
-constexpr Time kMaxMadeIdle = 24h;  // a made group that nobody used for a day is not in use
+// Upper bounds of the settings. With longer times, a share would not be reached within an operator's shift.
+constexpr Time kMaxSlack = 10s;     // another group waits for up to the slack
+constexpr Time kMaxPatience = 10s;  // threads may idle for this time
+constexpr Time kMaxCredit = 60s;    // a returning group may run alone for this time
+constexpr Time kMaxDebt = 1h;       // a group that was ahead may wait for this time
+constexpr Time kMaxFade = 1h;       // beyond it, credit and debt would come from another day's traffic
+constexpr Time kMaxMadeIdle = 24h;  // a group that was unused for a day is not needed
 
 }  // namespace
 
 ShareSettings ShareSettings::read(yaml::Section& section) {
   ShareSettings settings;
-  const auto span = [&](const char* key, Time fallback, Time most) {
+  const auto read_duration = [&](const char* key, Time fallback, Time max) {
     const auto value = section.duration(key, fallback);
-    if (value > most) section.fail(key, "expected at most " + yaml::duration_text(most));
+    if (value > max) section.fail(key, "expected at most " + yaml::duration_text(max));
     return value;
   };
-  settings.slack = span("slack", settings.slack, kMaxSlack);
-  settings.patience = span("patience", settings.patience, kMaxPatience);
-  settings.credit = span("credit", settings.credit, kMaxCredit);
-  settings.debt = span("debt", settings.debt, kMaxDebt);
-  settings.fade = span("fade", settings.fade, kMaxFade);
+  settings.slack = read_duration("slack", settings.slack, kMaxSlack);
+  settings.patience = read_duration("patience", settings.patience, kMaxPatience);
+  settings.credit = read_duration("credit", settings.credit, kMaxCredit);
+  settings.debt = read_duration("debt", settings.debt, kMaxDebt);
+  settings.fade = read_duration("fade", settings.fade, kMaxFade);
   settings.most_made = section.count("most_made", settings.most_made, 0, Tree::kMaxGroups);
-  settings.made_idle = span("made_idle", settings.made_idle, kMaxMadeIdle);
+  settings.made_idle = read_duration("made_idle", settings.made_idle, kMaxMadeIdle);
   return settings;
 }
 
--- a/src/groups/share_settings.hpp
+++ b/src/groups/share_settings.hpp
@@ -1,5 +1,5 @@
-// How strictly the shares are held: settings that operators write beside the tree. docs/operators/groups.md
-// explains each key.
+// ShareSettings are the operator's settings of how strictly shares are enforced, configured beside the tree.
+// docs/operators/groups.md explains each key.
 #pragma once
 
 #include <chrono>
@@ -11,18 +11,19 @@
 namespace heronwell::groups {
 
 struct ShareSettings {
-  // A group may be ahead of one that waits by so much of the engines' time: capacity for short classes.
+  // Engine time by which a group may be ahead of a waiting sibling. It keeps capacity in use for short
+  // classes.
   Time slack{std::chrono::milliseconds(200)};
-  // The first group in order holds others back while threads become free for its query, or for so long while
-  // there are threads to spare. If it starts nothing, others go for as long, for twice as long the next time,
-  // and so on.
+  // The first group in order holds its siblings back while threads become free for its query, or for this
+  // time while enough threads are free. If it starts nothing, its siblings may start requests for the same
+  // time, then for twice as long, and so on.
   Time patience{std::chrono::milliseconds(250)};
-  Time credit{std::chrono::milliseconds(500)};  // at most, of a group that comes back: engines' time unused
-  Time debt{std::chrono::seconds(30)};          // at most, of a group that is ahead
-  Time fade{std::chrono::seconds(10)};      // in which credit and debt of a group that waits for nothing fade
-  std::size_t most_made = 1000;             // groups that templates make
-  Time made_idle{std::chrono::minutes(5)};  // after which one without requests is removed
-  unsigned gateways = 1;  // routers; threads in the tree are the fleet's: each has an even part
+  Time credit{std::chrono::milliseconds(500)};  // maximum unused engine time that a returning group keeps
+  Time debt{std::chrono::seconds(30)};          // maximum engine time by which a group can be ahead
+  Time fade{std::chrono::seconds(10)};      // time constant of the decay of credit and debt of an idle group
+  std::size_t most_made = 1000;             // maximum number of groups created from templates
+  Time made_idle{std::chrono::minutes(5)};  // time without requests after which such a group is removed
+  unsigned gateways = 1;  // number of routers; each has an equal part of the threads configured in the tree
   // Throws yaml::Error.
   static ShareSettings read(yaml::Section& section);
 };
--- a/src/groups/shares.cpp
+++ b/src/groups/shares.cpp
@@ -10,12 +10,13 @@
 
 using namespace std::chrono_literals;
 
-// Between looks at attempts that run longer than they were charged for. Short beside the slack, so that a
-// group with a long report is charged before its siblings have waited for it.
+// Interval at which attempts that run longer than charged are charged again. It is short compared with the
+// slack, so that a group with a long report is charged before its siblings have waited for it.
 constexpr Time kChargeInterval = 50ms;
 
-// Without a call for so long, this router itself stood still. Several ticks of the decision engine, less than
-// the default patience: a router that was suspended does not pass a group by for it.
+// Longest gap between two calls that is not treated as a pause of this router. It is several ticks of the
+// decision engine and less than the default `patience`, so that no group is skipped because the router itself
+// was suspended.
 constexpr Time kMaxCallGap = 200ms;
 
 ShareContext context_of(ShareSettings settings, std::vector<ClassFacts> classes) {
@@ -34,18 +35,18 @@
   directory_.build(tree_);
 }
 
-// ---- time and engine time --------------------------------------------------------------------------------
+// ---- time and charges ------------------------------------------------------------------------------------
 void Shares::advance_time(Time now, double pool) {
   if (now > context_.now + kMaxCallGap && context_.now > Time::zero())
     dispatch_.exclude_pause(now - context_.now);
   context_.now = std::max(now, context_.now);
   context_.pool_threads = pool;
   context_.fleet_threads = std::max(1.0, pool) * static_cast<double>(1 + gossip_.live_routers());
-  gossip_.begin(now);
+  gossip_.start_sums(now);
   if (context_.now >= last_charge_ + kChargeInterval) charge_running();
 }
 
-// What runs longer than it was charged for is charged on.
+// Charges the attempts that run longer than they were charged for.
 void Shares::charge_running() {
   last_charge_ = context_.now;
   directory_.sweep();
@@ -65,7 +66,7 @@
 void Shares::charge(GroupNumber leaf, double amount, UsedBy used_by) {
   if (amount == 0) return;
   shares_.charge(leaf, amount, used_by);
-  if (used_by == UsedBy::this_router) gossip_.changed(leaf);
+  if (used_by == UsedBy::this_router) gossip_.mark_changed(leaf);
 }
 
 void Shares::receive_gossip(std::uint32_t from, std::string_view bytes) {
@@ -147,7 +148,7 @@
   limits_.remove_running(request.node, request.query);
   for (auto group = request.node; group != kRootGroup; group = nodes_[group].parent) order_.rekey(group);
   context_.freed_threads += threads;
-  // One that is proven not to have run costs nothing.
+  // An attempt that provably never ran costs nothing.
   const double used = ran ? seconds(context_.now - ended.sent) * threads : 0;
   charge(request.node, used - ended.charged, UsedBy::this_router);
   if (ran) costs_.learn(request.query, used);
--- a/src/groups/shares.hpp
+++ b/src/groups/shares.hpp
@@ -1,11 +1,12 @@
-// The shares of the resource groups in the engines: which queued request goes next, by group. Owns the
-// requests that are queued and in flight and hands each event to the parts that decide: `group_directory`
-// (which group), `group_limits` (may it come, may it start), `sibling_order` and `fair_shares` (whose turn by
-// use and weight), `group_dispatch` (which request now), `query_costs`, `share_gossip` and `group_view`.
+// Shares divides the engines among resource groups: it decides which queued request starts next, by group. It
+// owns the state of the requests that are queued or in flight, and passes each event to the classes that
+// decide: `group_directory` (which group), `group_limits` (whether a request is admitted and may start),
+// `sibling_order` and `fair_shares` (which sibling is first by use and weight), `group_dispatch` (which
+// request is next), `query_costs`, `share_gossip` and `group_view`.
 //
-// The decision engine chooses class, moment and engine; it asks here which of the requests it has queued may
-// go. A wait for a group's turn is a wait in the decision engine's own queue. No I/O, no clock: the time is
-// passed in.
+// The decision engine chooses class, time and engine, and asks here which of its queued requests may start. A
+// request that its group holds back stays in the decision engine's own queue. No I/O, no clock: the caller
+// passes the time.
 #pragma once
 
 #include <cstdint>
@@ -35,26 +36,27 @@
  public:
   using ClassFacts = groups::ClassFacts;
   Shares(Tree tree, std::vector<ClassFacts> classes, ShareSettings settings);
-  Shares(const Shares&) = delete;  // its parts refer to one another
+  Shares(const Shares&) = delete;  // its members refer to one another
   Shares& operator=(const Shares&) = delete;
   Shares(Shares&&) = delete;
   Shares& operator=(Shares&&) = delete;
   ~Shares() override = default;
 
-  // ---- called by the request registry, before the decision engine learns of it ----------------------------
-  // A `now` before the last one counts as that; `pool`: threads of this router.
+  // ---- events, called by the request registry before it passes them to the decision engine ----------------
+  // Sets the current time and the threads of this router. A `now` before the previous one is raised to it.
   void advance_time(Time now, double pool);
-  // Admits a request, which is queued; or names the limit for which it is rejected. `made`: a template named
-  // the group, which may be made.
+  // Admits and queues a request, or returns the limit for which it is rejected. `from_template`: a template
+  // produced the path, so the group may be created.
   Limit admit(RequestId id, std::string_view path, bool from_template, const Query& query);
-  void attempt_ended(RequestId id, std::size_t attempt, bool ran);  // one attempt, by the number of its start
-  void request_requeued(RequestId id);                              // queued again, after an attempt
-  void request_finished(RequestId id);                              // has its final answer
-  // Requests past their group's longest wait or run time: to be timed out. Each is returned once.
+  // An attempt ended; `attempt` is the number of its start. `ran` is false if it provably never ran.
+  void attempt_ended(RequestId id, std::size_t attempt, bool ran);
+  void request_requeued(RequestId id);  // the request is queued again after an attempt
+  void request_finished(RequestId id);  // the request has its final answer
+  // Returns the requests that waited or ran longer than their group allows. The caller must time them out.
+  // Each is returned once.
   std::vector<OverdueRequest> take_overdue();
-  [[nodiscard]] Time next_deadline() const {
-    return limits_.next_deadline();
-  }  // of take_overdue(); Time::max(): never
+  // The time at which take_overdue() returns the next request; Time::max(): none.
+  [[nodiscard]] Time next_deadline() const { return limits_.next_deadline(); }
 
   // ---- called by the decision engine ----------------------------------------------------------------------
   const std::vector<RequestId>& next_requests(ClassIndex cls) override {
@@ -63,10 +65,12 @@
   void attempt_started(RequestId id) override;
 
   // ---- changes of configuration ---------------------------------------------------------------------------
-  // Takes another tree: groups go on by their path, or by the path they `were`; requests of those removed
-  // wait and run to their end in the group "removed". No request is lost, and debts and credits stay.
+  // Replaces the tree. A group keeps its state if its path, or its previous path (key `was`), is unchanged.
+  // Requests of removed groups wait and run until their end in the group "removed". No request is lost, and
+  // debts and credits are kept.
   void reload(Tree tree);
-  // Weights and thread limits by schedule; nullopt in a field: as the tree has it. Groups not named go back.
+  // Sets weights and thread limits by schedule. A field that is nullopt has the value in the tree; so have
+  // groups that are not listed.
   struct Override {
     std::string path;
     std::optional<double> weight, min_threads, max_threads;
@@ -77,21 +81,24 @@
   // ---- other routers --------------------------------------------------------------------------------------
   static constexpr std::size_t kMaxGossipBytes = ShareGossip::kMaxMessageBytes;
   static constexpr char kGossipFirstByte = ShareGossip::kFirstByte;
-  // At most so many messages about groups whose engine time has changed, those not sent for longest first.
-  std::vector<std::string> gossip_messages(std::size_t most) { return gossip_.messages(most); }
-  // Ignores a message that is malformed. The first one of a router, or of one restarted, charges nothing.
+  // Returns up to `max_count` messages about groups whose engine time has changed; the groups that were not
+  // sent for the longest time come first.
+  std::vector<std::string> gossip_messages(std::size_t max_count) { return gossip_.messages(max_count); }
+  // Charges the engine time in a message of another router. A malformed message is ignored. The first message
+  // of a router, or of a restarted one, charges nothing.
   void receive_gossip(std::uint32_t from, std::string_view bytes);
 
   // ---- views ----------------------------------------------------------------------------------------------
-  // All groups, parents before children, siblings in the order written.
+  // Describes all groups, parents before children, siblings in the configured order.
   [[nodiscard]] std::vector<GroupView> view() const;
-  // The same in pieces, see GroupViews::scan; reload() makes all earlier numbers void.
+  // Describes some groups per call, see GroupViews::scan. reload() invalidates the cursor.
   using ViewCursor = GroupNumber;
-  bool scan_views(ViewCursor& next, std::size_t most, std::vector<GroupView>& out) const {
-    return views_.scan(next, most, out);
+  bool scan_views(ViewCursor& next, std::size_t max_count, std::vector<GroupView>& out) const {
+    return views_.scan(next, max_count, out);
   }
   [[nodiscard]] std::size_t requests() const { return requests_.size(); }
-  // Every sum against what it is the sum of; "": all agree.
+  // Compares every stored sum with the values that it adds up. Returns a description of the first difference;
+  // "" if there is none.
   [[nodiscard]] std::string find_inconsistency() const;
 
  private:
@@ -102,8 +109,9 @@
   void erase_request(RequestId id);
   void charge(GroupNumber leaf, double amount, UsedBy used_by);
   void charge_running();
-  // ---- shares_reload.cpp: another tree, other settings of its groups ----
-  using Places = std::vector<std::optional<GroupNumber>>;  // of old groups, by their number
+  // ---- shares_reload.cpp: replacing the tree and the settings of its groups ----
+  // New numbers of the old groups, by their old number; nullopt: removed.
+  using Places = std::vector<std::optional<GroupNumber>>;
   [[nodiscard]] Places find_places(const GroupNodes& old, const std::vector<GroupNumber>& by_depth);
   void carry_over(const GroupNodes& old, const std::vector<GroupNumber>& by_depth, const Places& places);
   void remember_leaves(const GroupNodes& old, const std::vector<GroupNumber>& by_depth, const Places& places);
@@ -113,7 +121,7 @@
   void revert(const Override& change);
   void set_shares(GroupNumber group, double weight, double min_threads, double max_threads);
   // ---- shares_consistency.cpp ----
-  struct Sums {  // of what the requests say
+  struct Sums {  // recomputed from the requests
     std::vector<std::size_t> queued, requests;
     std::vector<unsigned> running;
   };
@@ -125,7 +133,7 @@
   Tree tree_;
   GroupNodes nodes_;
   GroupRequests requests_;
-  std::set<RequestId> running_;  // with attempts in flight
+  std::set<RequestId> running_;  // requests with attempts in flight
   std::vector<Override> overrides_;
   std::uint64_t arrivals_ = 0;
   Time last_charge_{};
--- a/src/groups/shares_reload.cpp
+++ b/src/groups/shares_reload.cpp
@@ -1,11 +1,14 @@
-// Changes of configuration: another tree, and weights and limits by schedule.
+// Implements configuration changes of Shares: replacing the tree, and setting weights and limits by schedule.
 //
-// Rule: a reload builds all groups anew, then finds each old group's place (by path, by the path it `was`, or
-// made again under its parent's new place), carries over its use, its debts and its rejections, and queues
-// the requests again in order of arrival. Requests of groups that have no place go to the group "removed".
-// Failure: a reload under load that rejects or forgets queued requests, or lets a group that owes begin at
-// zero; it shows as time-outs and as a share that jumps after each change. Guard: requests and debts are
-// carried over completely, `find_inconsistency` holds after each reload (shares_test).
+// A reload builds all groups anew and then finds the new place of each old group: by its path, by the path
+// that the new group names under `was`, or, for a group created on demand, by creating it again under the new
+// place of its parent. The used engine time, the offset from the floor and the rejection counts are copied,
+// and the requests are queued again in order of arrival. Requests of groups without a new place go to the
+// group "removed".
+//
+// A reload under load must not reject or lose queued requests, nor reset a group's debt. Such a fault shows
+// as timeouts and as a share that jumps after each change. shares_test checks that `find_inconsistency` finds
+// nothing after each reload.
 #include <algorithm>
 #include <numeric>
 #include <utility>
@@ -34,7 +37,8 @@
   set_overrides(overrides);
 }
 
-// Where old groups are now; none: removed. Parents before children, since made groups follow their parents.
+// Returns the new numbers of the old groups; nullopt: removed. Parents come before children, because a group
+// created on demand follows its parent.
 Shares::Places Shares::find_places(const GroupNodes& old, const std::vector<GroupNumber>& by_depth) {
   std::map<std::string, GroupNumber, std::less<>> by_old_path;
   for (GroupNumber group = 1; group < nodes_.size(); ++group) {
--- a/src/groups/sibling_order.cpp
+++ b/src/groups/sibling_order.cpp
@@ -40,8 +40,8 @@
     for (std::size_t cls = 0; cls < context_.classes.size(); ++cls) {
       if (queue.queued_by_class[cls] == 0) continue;
       auto& waiting = nodes_[nodes_[group].parent].queue.waiting[cls];
-      auto extracted = waiting.extract(queue.key);  // without giving its memory back
-      if (extracted.empty()) continue;              // about to be inserted
+      auto extracted = waiting.extract(queue.key);  // reuses the memory of the set node
+      if (extracted.empty()) continue;              // count_queued() will insert it
       extracted.value() = key;
       waiting.insert(std::move(extracted));
     }
--- a/src/groups/sibling_order.hpp
+++ b/src/groups/sibling_order.hpp
@@ -1,14 +1,17 @@
-// The order in which siblings wait, and the queues of leaves.
+// SiblingOrder keeps the order in which siblings wait, and the request queues of leaves.
 //
-// Rule: in each group and class, children with queued requests stand in a set ordered by SiblingKey: first
-// those that run fewer threads than their minimum (this router's even part of it); then by policy: virtual
-// time (fair), place in the configuration (strict), arrival of the oldest queued request (first come); then
-// by number, so that the order is the same on every run. A leaf's requests stand in order of arrival.
+// In each group and class, the children with queued requests are in a set ordered by SiblingKey: first the
+// children that run fewer threads than their minimum (this router's equal part of it), then by policy:
+// virtual time (fair), position in the configuration (strict), arrival of the oldest queued request (first
+// come), then by number, so that the order is the same on every run. The requests of a leaf are in order of
+// arrival.
 //
-// Inputs: queued requests, running threads, virtual times. Output: `waiting` and `key` of each group.
-// Failure: a key that changes while it stands in a set is not found again, and its group is never offered or
-// offered without requests. Guard: the key is kept in the group and changes only in `rekey`, which moves its
-// entries in the same step; `Shares::find_inconsistency` checks both ways.
+// The inputs are queued requests, running threads and virtual times. The outputs are `waiting` and `key` of
+// each group.
+//
+// A key that changed while it is in a set could not be found again, and its group would never be offered, or
+// be offered without requests. The key is therefore stored in the group and changes only in `rekey`, which
+// moves the set entries in the same step. `Shares::find_inconsistency` checks both directions.
 #pragma once
 
 #include "groups/group_node.hpp"
@@ -19,17 +22,18 @@
  public:
   SiblingOrder(const ShareContext& context, GroupNodes& nodes) : context_(context), nodes_(nodes) {}
 
-  // Gives the group the place that its minimum, policy and use call for now.
+  // Recomputes the group's key from its minimum, policy and use, and moves its set entries.
   void rekey(GroupNumber group);
-  // The same where siblings go by the arrival of their oldest request.
+  // Does the same if the parent's policy is first_come, and nothing otherwise.
   void rekey_if_first_come(GroupNumber group);
 
-  // A request is queued: in its leaf's queue, then counted on each level up to the root.
+  // Adds a request to the queue of its leaf. The caller must then call count_queued on each level.
   void push(GroupNumber leaf, ClassIndex cls, std::uint64_t arrival, RequestId request);
-  // True: it is the only one queued in the group, which begins to wait.
+  // Counts a queued request in the group. Returns true if it is the only one, so that the group starts to
+  // wait.
   bool count_queued(GroupNumber group) { return ++nodes_[group].queue.queued == 1; }
   void count_queued(GroupNumber group, ClassIndex cls);
-  // A request is no longer queued, on all levels.
+  // Removes a request from the queue of its leaf and from the counts on all levels.
   void remove(GroupNumber leaf, ClassIndex cls, std::uint64_t arrival, RequestId request);
 
  private:
--- a/src/groups/tree.cpp
+++ b/src/groups/tree.cpp
@@ -8,10 +8,12 @@
 namespace heronwell::groups {
 namespace {
 
-// More threads than any fleet has: a larger figure is a slip of the pen.
+// More threads than any fleet has; a larger value is most likely a typing error.
 constexpr double kMaxThreads = 1e7;
-constexpr double kMinWeight = 1e-3, kMaxWeight = 1e6;  // a billion to one: finer shares than engines can give
-constexpr std::size_t kMaxNameBytes = 64;  // of a group, so that paths stay readable in metrics and logs
+// A ratio of a billion to one allows finer shares than engines can provide.
+constexpr double kMinWeight = 1e-3, kMaxWeight = 1e6;
+// Maximum length of a group's name, so that paths stay readable in metrics and logs.
+constexpr std::size_t kMaxNameBytes = 64;
 constexpr std::size_t kMaxQueued = 1'000'000'000;  // requests: more than any router has memory for
 constexpr double kBytesPerMb = 1 << 20;
 
@@ -92,15 +94,17 @@
       group.query_memory_mb = static_cast<double>(one.size("query_memory", 0)) / kBytesPerMb;
     minima += group.min_threads;
     if (minima > groups_[parent].max_threads)
-      one.fail("min_threads", fmt::format("the minima here sum to {}, more than the ceiling {} above them",
-                                          minima, groups_[parent].max_threads));
+      one.fail(
+          "min_threads",
+          fmt::format("the minima of these groups sum to {}, more than the max_threads {} of their parent",
+                      minima, groups_[parent].max_threads));
     read_children(one, number);
     one.close();
   }
 }
 
-// Amounts are clamp(weight x level, floor, want) for the one level at which they sum to what there is. The
-// level is found between the points where a demand begins or ends to grow.
+// Each result is clamp(weight x level, floor, want), with the level at which the results sum to `amount`. The
+// level is found by a sweep over the points at which a result starts or stops to grow with it.
 std::vector<double> fill(double amount, const std::vector<SiblingDemand>& demands) {
   std::vector<double> given(demands.size());
   double floors = 0, wants = 0;
@@ -118,7 +122,7 @@
     return given;
   }
   struct Point {
-    double level, weight;  // weight that begins to grow there, or, negative, ends to
+    double level, weight;  // weight whose growth starts there or, if negative, stops there
   };
   std::vector<Point> points;
   for (const auto& c : demands) {
@@ -145,7 +149,7 @@
 
 namespace {
 
-// Floors first, then each demand in the order written.
+// Serves the floors first, then each demand in the configured order.
 std::vector<double> fill_in_order(double amount, const std::vector<SiblingDemand>& demands) {
   std::vector<double> given(demands.size());
   double left = amount;
@@ -167,7 +171,8 @@
 
 std::vector<double> divide(const Tree& tree, double threads, const std::vector<double>& wanted) {
   const auto& groups = tree.groups();
-  // From the leaves up: what is wanted below each ceiling. Children stand after their parents.
+  // Sums the demand from the leaves up, limited by each ceiling. Children have higher numbers than their
+  // parents.
   std::vector<double> want(groups.size()), given(groups.size());
   for (auto i = groups.size(); i-- > 0;) {
     const auto& group = groups[i];
--- a/tests/groups/selector_test.cpp
+++ b/tests/groups/selector_test.cpp
@@ -29,32 +29,32 @@
 struct Case {
   const char* name;
   RequestAttributes request;
-  const char* group;
-  unsigned rule;
+  const char* expected_group;
+  unsigned expected_rule;
 };
-RequestAttributes with(std::string cls, std::string tenant = "") {
+RequestAttributes request_of(std::string cls, std::string tenant = "") {
   RequestAttributes r;
   r.cls = std::move(cls);
   r.tenant = std::move(tenant);
   return r;
 }
 std::vector<Case> cases() {
-  std::vector<Case> all{{"set", with("report", "station"), "reports", 1},
-                        {"not_in_the_set", with("report", "museum"), "other", 0},
-                        {"nothing_known", with(""), "other", 0},
-                        {"template_of_an_attribute", with("open", "harbour-2"), "open.harbour-2", 8},
-                        {"a_path_as_a_name", with("open", "harbour.reports"), "", 8},
-                        {"an_empty_name", with("open", ""), "other", 0}};
-  all.push_back({"second_root_field", with("lookup"), "loads", 2});
+  std::vector<Case> all{{"set", request_of("report", "station"), "reports", 1},
+                        {"tenant_not_in_the_set", request_of("report", "museum"), "other", 0},
+                        {"no_known_attributes", request_of(""), "other", 0},
+                        {"template_of_an_attribute", request_of("open", "harbour-2"), "open.harbour-2", 8},
+                        {"path_as_a_name", request_of("open", "harbour.reports"), "", 8},
+                        {"empty_name", request_of("open", ""), "other", 0}};
+  all.push_back({"second_root_field", request_of("lookup"), "loads", 2});
   all.back().request.root_fields = {"shop", "planLoad"};
-  all.push_back({"subject", with("lookup"), "teams.maps", 3});
+  all.push_back({"subject", request_of("lookup"), "teams.maps", 3});
   all.back().request.subject = "maps/kiosk-7";
-  all.push_back({"a_claim_by_header_is_no_subject", with("lookup"), "claimed.lookup", 4});
+  all.push_back({"header_does_not_set_the_subject", request_of("lookup"), "claimed.lookup", 4});
   all.back().request.header = [](std::string_view name) -> std::optional<std::string> {
     if (name == "x-team" || name == "subject") return "maps/kiosk-7";
     return std::nullopt;
   };
-  all.push_back({"an_authenticated_subject_goes_before_its_claim", all.back().request, "teams.rail", 3});
+  all.push_back({"authenticated_subject_precedes_header", all.back().request, "teams.rail", 3});
   all.back().request.subject = "rail/desk";
   for (const auto& [address, group] : {std::pair{"10.255.0.1", "batch"},
                                        {"11.0.0.1", "other"},
@@ -63,25 +63,25 @@
                                        {"2001:db8:8000::1", "other"},
                                        {"", "other"},
                                        {"x", "other"}}) {
-    all.push_back({address, with("lookup"), group, std::string(group) == "batch" ? 5U : 0U});
+    all.push_back({address, request_of("lookup"), group, std::string(group) == "batch" ? 5U : 0U});
     all.back().request.address = address;
     all.back().request.tags = {"nightly", "batch"};
   }
-  all.push_back({"operation", with("lookup"), "kiosks", 6});
+  all.push_back({"operation", request_of("lookup"), "kiosks", 6});
   all.back().request.operation = "Kiosk";
-  all.push_back({"statement", with("lookup"), "writes", 7});
+  all.push_back({"statement", request_of("lookup"), "writes", 7});
   all.back().request.statement = "update";
   return all;
 }
 
-TEST(SelectorsTest, TheFirstThatMatchesNamesTheGroup) {
+TEST(SelectorsTest, ChoosesTheGroupOfTheFirstMatchingRule) {
   const auto all = selectors();
   for (const auto& one : cases()) {
     const auto chosen = all.choose(one.request);
-    EXPECT_EQ(chosen.group, one.group) << one.name << ": " << chosen.reason;
-    EXPECT_EQ(chosen.rule, one.rule) << one.name;
+    EXPECT_EQ(chosen.group, one.expected_group) << one.name << ": " << chosen.reason;
+    EXPECT_EQ(chosen.rule, one.expected_rule) << one.name;
     EXPECT_EQ(chosen.group.empty(), !chosen.reason.empty()) << one.name;
-    // What is explained is what is chosen.
+    // The explanation must agree with the choice.
     const auto explanation = all.explain(one.request);
     EXPECT_NE(explanation.find(chosen.group.empty() ? "refused\n" : "group " + chosen.group + "\n"),
               std::string::npos)
@@ -89,22 +89,22 @@
   }
 }
 
-TEST(SelectorsTest, WithoutADefaultWhatMatchesNothingIsRejectedWithAReason) {
+TEST(SelectorsTest, RejectsAnUnmatchedRequestWithAReasonIfThereIsNoDefault) {
   const auto all = selectors("selectors: [{class: a, group: a}]\n");
-  const auto chosen = all.choose(with("b"));
+  const auto chosen = all.choose(request_of("b"));
   EXPECT_EQ(chosen.group, "");
   EXPECT_EQ(chosen.reason, "no selector matches, and there is no default group");
   EXPECT_EQ(
-      all.explain(with("b")),
+      all.explain(request_of("b")),
       "selector 1: class is \"b\", not a\nno selector matches, and there is no default group\nrefused\n");
 }
 
-struct Bad {
+struct InvalidText {
   const char* text;
   const char* expected_error;
 };
-class BadRules : public testing::TestWithParam<Bad> {};
-TEST_P(BadRules, AreRejectedWithTheirPlace) {
+class BadRules : public testing::TestWithParam<InvalidText> {};
+TEST_P(BadRules, AreRejectedWithTheirPosition) {
   std::string error_text;
   try {
     (void)selectors(GetParam().text);
@@ -116,48 +116,51 @@
 INSTANTIATE_TEST_SUITE_P(
     , BadRules,
     testing::Values(
-        Bad{"selectors: [{class: a}]", "g.yaml:1:13: selectors[0].group: missing; text is needed"},
-        Bad{"selectors: [{klass: a, group: g}]",
-            "g.yaml:1:21: selectors[0].klass: unknown key; the nearest known one is \"class\""},
-        Bad{"selectors: [{class: {pattern: \"(\"}, group: g}]",
-            "g.yaml:1:31: selectors[0].class.pattern: expected a pattern of RE2: missing ): ("},
-        Bad{"selectors: [{class: [], group: g}]",
-            "g.yaml:1:21: selectors[0].class: expected at least one text"},
-        Bad{"selectors: [{network: 10.0.0.1/8, group: g}]",
+        InvalidText{"selectors: [{class: a}]", "g.yaml:1:13: selectors[0].group: missing; text is needed"},
+        InvalidText{"selectors: [{klass: a, group: g}]",
+                    "g.yaml:1:21: selectors[0].klass: unknown key; the nearest known one is \"class\""},
+        InvalidText{"selectors: [{class: {pattern: \"(\"}, group: g}]",
+                    "g.yaml:1:31: selectors[0].class.pattern: expected an RE2 pattern: missing ): ("},
+        InvalidText{"selectors: [{class: [], group: g}]",
+                    "g.yaml:1:21: selectors[0].class: expected at least one string"},
+        InvalidText{
+            "selectors: [{network: 10.0.0.1/8, group: g}]",
             "g.yaml:1:23: selectors[0].network: expected networks such as 10.0.0.0/8, not \"10.0.0.1/8\""},
-        Bad{"selectors: [{network: [10.0.0.0/33], group: g}]",
+        InvalidText{
+            "selectors: [{network: [10.0.0.0/33], group: g}]",
             "g.yaml:1:23: selectors[0].network: expected networks such as 10.0.0.0/8, not \"10.0.0.0/33\""},
-        Bad{"selectors: [{class: a, group: \"t.${tenant}\"}]",
-            "g.yaml:1:31: selectors[0].group: \"${tenant}\" is no attribute that this rule asks for, nor a "
-            "pattern's capture"},
-        Bad{"selectors: [{class: a, group: \"t.${class\"}]",
-            "g.yaml:1:31: selectors[0].group: a \"${\" without its \"}\""},
-        Bad{"selectors: [{class: a, group: \"t..b\"}]",
-            "g.yaml:1:31: selectors[0].group: expected names of letters, digits, _ and - between dots"},
-        Bad{"default: \".\"",
-            "g.yaml:1:10: default: expected names of letters, digits, _ and - between dots"}));
+        InvalidText{"selectors: [{class: a, group: \"t.${tenant}\"}]",
+                    "g.yaml:1:31: selectors[0].group: \"${tenant}\" is neither an attribute in a "
+                    "condition of this rule nor a capture of its patterns"},
+        InvalidText{"selectors: [{class: a, group: \"t.${class\"}]",
+                    "g.yaml:1:31: selectors[0].group: \"${\" without a closing \"}\""},
+        InvalidText{
+            "selectors: [{class: a, group: \"t..b\"}]",
+            "g.yaml:1:31: selectors[0].group: expected names of letters, digits, _ and -, separated by dots"},
+        InvalidText{"default: \".\"",
+                    "g.yaml:1:10: default: expected names of letters, digits, _ and -, separated by dots"}));
 
-TEST(SelectorsTest, PatternsTakeTimeLinearInTheText) {
+TEST(SelectorsTest, MatchesPatternsInLinearTime) {
   const auto all = selectors("selectors: [{tenant: {pattern: \"(a*)*(a*)*b\"}, group: g}]\ndefault: other\n");
   const std::string text(100'000, 'a');
-  const auto began = std::chrono::steady_clock::now();
-  EXPECT_EQ(all.choose(with("", text)).group, "other");
-  EXPECT_LT(std::chrono::steady_clock::now() - began, 2s);
+  const auto start = std::chrono::steady_clock::now();
+  EXPECT_EQ(all.choose(request_of("", text)).group, "other");
+  EXPECT_LT(std::chrono::steady_clock::now() - start, 2s);
 }
 
-TEST(MadeTest, GroupsAreBoundedAndGoOnceIdle) {
+TEST(MadeTest, LimitsTheNumberOfGroupsAndRemovesIdleOnes) {
   OnDemandGroups groups(2, 10s);
   EXPECT_TRUE(groups.enter(0s, "a"));
   EXPECT_TRUE(groups.enter(0s, "b"));
-  EXPECT_FALSE(groups.enter(0s, "c")) << "as many as may be made";
+  EXPECT_FALSE(groups.enter(0s, "c")) << "the limit of two groups is reached";
   EXPECT_TRUE(groups.enter(0s, "a"));
   groups.leave(1s, "a");
-  EXPECT_TRUE(groups.sweep(100s).empty()) << "one request is in it still";
+  EXPECT_TRUE(groups.sweep(100s).empty()) << "one request is still in the group";
   groups.leave(100s, "a");
   groups.leave(101s, "b");
   EXPECT_FALSE(groups.enter(109s, "c"));
-  EXPECT_TRUE(groups.enter(110s, "c")) << "a is idle for long enough";
-  EXPECT_TRUE(groups.enter(110s, "b")) << "in use again, so it stays";
+  EXPECT_TRUE(groups.enter(110s, "c")) << "a was idle for long enough, so its place is free";
+  EXPECT_TRUE(groups.enter(110s, "b")) << "b exists and is in use again";
   EXPECT_TRUE(groups.sweep(200s).empty());
   EXPECT_EQ(groups.size(), 2U);
   groups.leave(200s, "b");
@@ -166,8 +169,8 @@
   EXPECT_EQ(groups.sweep(210s), std::vector<std::string>{"b"});
 }
 
-// A client that claims another team by header counts for nothing beside an authenticated subject.
-TEST(SelectorsTest, AClaimDoesNotCountBesideASubject) {
+// An authenticated client must not enter the group of another team by a header or tag.
+TEST(SelectorsTest, IgnoresHeaderAndTagRulesForAnAuthenticatedSubject) {
   auto section = yaml::Section::text(
       "selectors:\n  - {header: {x-team: red}, group: red}\n  - {tag: red, group: red}\n"
       "  - {subject: ann, header: {x-team: blue}, group: blue}\n  - {subject: ann, group: ann}\n",
@@ -185,15 +188,15 @@
   EXPECT_EQ(selectors.choose(request).group, "blue");
 }
 
-TEST(SelectorsTest, TakeTheFirstWordOfAStatement) {
+TEST(SelectorsTest, ReadsTheFirstWordOfAStatement) {
   EXPECT_EQ(first_word("  /* insert */ -- update\n (SELECT 1)"), "select");
   EXPECT_EQ(first_word("with x as (select 1) insert"), "with");
   EXPECT_EQ(first_word("/* never ends"), "");
   EXPECT_EQ(first_word("1 = 1"), "");
 }
 
-// Groups that the tree does not have, or that have children, are rejected with their place.
-TEST(SelectorsTest, NameGroupsOfTheTree) {
+// Rules may name only leaves of the tree; errors give the position of the rule.
+TEST(SelectorsTest, RejectsGroupsThatAreMissingInTheTreeOrHaveChildren) {
   auto groups = yaml::Section::text("groups: {a: {groups: {x: {}}}, t: {}}", "test");
   const auto tree = Tree::read(groups);
   for (const auto* wrong : {"a", "b", "a.y", "t.${class}.z"}) {
--- a/tests/groups/shares_test.cpp
+++ b/tests/groups/shares_test.cpp
@@ -1,5 +1,5 @@
-// The shares alone, under a stand-in for the decision engine: a pool of threads, classes by rank, each free
-// thread to the request that the shares offer first.
+// Tests Shares with a simulation in place of the decision engine: it has a pool of threads and classes
+// ordered by rank, and gives free threads to the request that Shares offers first.
 #include "groups/shares.hpp"
 
 #include <gtest/gtest.h>
@@ -15,9 +15,9 @@
 
 Tree tree(const std::string& yaml) {
   auto section = yaml::Section::text("groups: " + yaml, "test");
-  auto read = Tree::read(section);
+  auto result = Tree::read(section);
   section.close();
-  return read;
+  return result;
 }
 
 class GroupsSimulation {
@@ -29,7 +29,7 @@
         free_(threads),
         pool_(threads) {}
 
-  // Keeps `count` queries of the class waiting in the group.
+  // A source keeps `count` queries of the class waiting in the group.
   struct Source {
     std::string group;
     ClassIndex cls = 0;
@@ -84,7 +84,7 @@
   Time now{1s};
   std::map<std::string, double> used;
   double idle = 0;                   // thread-seconds
-  unsigned blocked_from = UINT_MAX;  // class that finds no engine
+  unsigned blocked_from = UINT_MAX;  // classes from this one on find no engine
 
  private:
   bool start_next() {
@@ -115,7 +115,7 @@
   double pool_;
 };
 
-TEST(Shares, HoldWithinThreePercentOverTwentySeconds) {
+TEST(Shares, MatchTheWeightsWithinThreePercentOverTwentySeconds) {
   GroupsSimulation simulation("{a: {weight: 5}, b: {weight: 3}, c: {weight: 2}}", 16);
   simulation.sources = {{"a", 0, 50ms, 20}, {"b", 0, 80ms, 20}, {"c", 0, 20ms, 20}};
   simulation.run(5s);
@@ -125,38 +125,38 @@
   EXPECT_NEAR(share["c"], 0.2, 0.015);
 }
 
-TEST(Shares, CountEngineTimeSoThatLongReportsDontTakeTheShareOfLookups) {
+TEST(Shares, CountEngineTimeSoThatLongReportsDoNotExceedTheirShare) {
   GroupsSimulation simulation("{reports: {}, lookups: {}}", 16);
   simulation.sources = {{"reports", 1, 2s, 10}, {"lookups", 0, 30ms, 40}};
-  simulation.run(15s);  // until it is known what a report takes
+  simulation.run(15s);  // until the cost of a report is learned
   auto share = simulation.shares_over(20s);
   EXPECT_NEAR(share["lookups"], 0.5, 0.03);
-  simulation.sources[1].count = 0;  // what lookups leave is lent
+  simulation.sources[1].count = 0;  // the unused share of lookups is lent
   simulation.run(1s);
   share = simulation.shares_over(10s);
   EXPECT_GT(share["reports"], 0.99);
 }
 
-TEST(Shares, LentThreadsComeBackWithoutEndingWhatRuns) {
+TEST(Shares, ReturnLentThreadsWithoutCancellingRunningQueries) {
   GroupsSimulation simulation("{a: {}, b: {}}", 10);
   simulation.sources = {{"a", 0, 100ms, 30}};
   simulation.run(10s);
   simulation.sources.push_back({"b", 0, 100ms, 30});
   simulation.run(300ms);
   auto share = simulation.shares_over(2s);
-  EXPECT_NEAR(share["b"], 0.5, 0.1);  // its bounded credit first
+  EXPECT_NEAR(share["b"], 0.5, 0.1);  // b first uses its bounded credit
   share = simulation.shares_over(10s);
   EXPECT_NEAR(share["b"], 0.5, 0.02);
 }
 
-TEST(Shares, OfOneThousandTimesTheTrafficTakeNoMore) {
+TEST(Shares, DoNotGrowWithTheAmountOfTraffic) {
   GroupsSimulation simulation("{loud: {}, quiet: {}}", 8);
   simulation.sources = {{"loud", 0, 40ms, 2000}, {"quiet", 0, 40ms, 8}};
   simulation.run(2s);
   EXPECT_NEAR(simulation.shares_over(20s)["quiet"], 0.5, 0.02);
 }
 
-TEST(Shares, AreDividedOnEachLevel) {
+TEST(Shares, AreDividedByWeightOnEachLevel) {
   GroupsSimulation simulation("{x: {weight: 3, groups: {a: {weight: 1}, b: {weight: 2}}}, y: {weight: 1}}",
                               12);
   simulation.sources = {{"x.a", 0, 30ms, 20}, {"x.b", 0, 60ms, 20}, {"y", 0, 50ms, 20}};
@@ -167,8 +167,8 @@
   EXPECT_NEAR(share["y"], 0.25, 0.015);
 }
 
-// Ten levels, 5,000 leaves, two of them busy and two more now and then.
-TEST(Shares, HoldInATreeTenDeepWithFiveThousandLeaves) {
+// Ten levels and 5,000 leaves: two leaves are busy, and some others get single requests.
+TEST(Shares, MatchTheWeightsInATreeOfTenLevelsAndFiveThousandLeaves) {
   std::string yaml, above, end;
   for (int i = 1; i < 10; ++i) {
     yaml += "{l" + std::to_string(i) + ": {groups: ";
@@ -189,14 +189,14 @@
   EXPECT_EQ(simulation.shares.view().size(), 5010u);
 }
 
-TEST(Shares, StrictChildrenGoInTheOrderWritten) {
+TEST(Shares, ServeStrictChildrenInConfiguredOrder) {
   GroupsSimulation simulation("{x: {policy: strict, groups: {first: {}, second: {}}}}", 4);
   simulation.sources = {{"x.second", 0, 50ms, 10}, {"x.first", 0, 50ms, 10}};
   simulation.run(1s);
   EXPECT_GT(simulation.shares_over(5s)["x.first"], 0.99);
 }
 
-TEST(Shares, FirstComeChildrenGoAsTheyCame) {
+TEST(Shares, ServeFirstComeChildrenInOrderOfArrival) {
   GroupsSimulation simulation("{x: {policy: first_come, groups: {a: {}, b: {}}}}", 1);
   for (int i = 0; i < 10; ++i) {
     simulation.request("x.a", 0, 10ms);
@@ -207,14 +207,14 @@
   EXPECT_NEAR(simulation.used["x.a"] / (simulation.used["x.a"] + simulation.used["x.b"]), 2.0 / 3, 0.1);
 }
 
-TEST(Shares, MinimaGoBeforeWeights) {
+TEST(Shares, ServeMinimaBeforeWeights) {
   GroupsSimulation simulation("{a: {weight: 100}, b: {weight: 1, min_threads: 4}}", 8);
   simulation.sources = {{"a", 0, 50ms, 30}, {"b", 0, 50ms, 30}};
   simulation.run(1s);
   EXPECT_NEAR(simulation.shares_over(10s)["b"], 0.5, 0.02);
 }
 
-TEST(Shares, CeilingsAreNeverPassed) {
+TEST(Shares, NeverExceedCeilings) {
   GroupsSimulation simulation("{a: {max_threads: 3, groups: {x: {}, y: {max_threads: 2}}}, b: {}}", 16);
   simulation.sources = {{"a.x", 0, 35ms, 9}, {"a.y", 0, 35ms, 9}, {"b", 0, 35ms, 3}};
   for (int i = 0; i < 1000; ++i) {
@@ -230,20 +230,20 @@
   }
 }
 
-TEST(Shares, MemoryCeilingsHoldBackByEstimates) {
+TEST(Shares, HoldBackQueriesWhoseEstimateExceedsTheMemoryCeiling) {
   Shares shares(tree("{a: {max_memory: 100MiB}, b: {}}"), {{1, false}}, {});
   shares.advance_time(1s, 8);
   for (RequestId id = 1; id <= 3; ++id) ASSERT_EQ(shares.admit(id, "a", false, {0, 60, {}}), Limit::none);
   shares.attempt_started(shares.next_requests(0).front());
-  EXPECT_TRUE(shares.next_requests(0).empty()) << "a second would pass it";
+  EXPECT_TRUE(shares.next_requests(0).empty()) << "a second query would exceed the memory ceiling";
   shares.attempt_ended(1, 0, true);
   shares.request_finished(1);
   EXPECT_EQ(shares.next_requests(0), std::vector<RequestId>{2});
 }
 
-// What a group is ahead by when it stops asking fades: at once it waits for the other to catch up, a minute
-// later it does not.
-TEST(Shares, DebtsFadeWhileAGroupAsksNothing) {
+// A group that is ahead when it becomes idle must have to wait for its sibling shortly afterwards, but not
+// after a minute.
+TEST(Shares, DecayDebtsWhileAGroupIsIdle) {
   for (const Time pause : {Time(1s), Time(60s)}) {
     GroupsSimulation elsewhere("{a: {}, b: {}}", 8), simulation("{a: {}, b: {}}", 8);
     elsewhere.sources = {{"a", 0, 50ms, 20}};
@@ -256,7 +256,7 @@
     simulation.sources[0].count = simulation.sources[1].count = 0;
     simulation.run(pause);
     simulation.sources[0].count = simulation.sources[1].count = 20;
-    const auto share = simulation.shares_over(400ms)["b"];  // the credit that a group can come back with
+    const auto share = simulation.shares_over(400ms)["b"];  // 400 ms: the time covered by the credit
 
     if (pause == Time(1s))
       EXPECT_GT(share, 0.9);
@@ -265,7 +265,7 @@
   }
 }
 
-TEST(Shares, RejectAtOnceWhatCouldNeverRun) {
+TEST(Shares, RejectOnArrivalQueriesThatCouldNeverRun) {
   Shares shares(
       tree("{a: {max_threads: 2, query_work: 1s, query_memory: 64MiB, groups: {x: {max_queued: 2}}}}"),
       {{1, false}, {4, false}}, {});
@@ -282,7 +282,7 @@
   EXPECT_EQ(shares.find_inconsistency(), "");
 }
 
-TEST(Shares, TimeOutWhatWaitsOrRunsTooLong) {
+TEST(Shares, ReportRequestsThatWaitOrRunTooLong) {
   Shares shares(tree("{a: {longest_wait: 100ms, query_time: 200ms}}"), {{1, false}}, {});
   shares.advance_time(1s, 8);
   (void)shares.admit(1, "a", false, {});
@@ -303,8 +303,9 @@
   EXPECT_EQ(shares.requests(), 0u);
 }
 
-// A group whose class finds no engine holds others back for its patience, and for less and less of the time.
-TEST(Shares, LeaveLittleIdleWhereAGroupFindsNoEngine) {
+// A group whose class finds no engine holds its siblings back for its patience, then for a decreasing part of
+// the time.
+TEST(Shares, LeaveFewThreadsIdleWhileAGroupFindsNoEngine) {
   GroupsSimulation simulation("{stuck: {weight: 10}, other: {}}", 8);
   simulation.blocked_from = 1;
   simulation.sources = {{"stuck", 1, 1s, 3}, {"other", 0, 50ms, 30}};
@@ -315,7 +316,7 @@
   EXPECT_EQ(simulation.used["stuck"], 0);
 }
 
-// One router's shares through arrivals, starts, ends, repeats, disconnects and reloads, at random.
+// Applies random arrivals, starts, ends, retries, disconnects and reloads to the Shares of one router.
 class RandomEvents {
  public:
   explicit RandomEvents(std::uint32_t seed) : random_(seed) {}
@@ -323,20 +324,20 @@
   void step() {
     now_ += Time(random(20'000'000));
     shares_.advance_time(now_, kThreads);
-    const auto what = random(100);
-    if (what < 40) {
+    const auto event = random(100);
+    if (event < 40) {
       arrive();
-    } else if (what < 65) {
+    } else if (event < 65) {
       start();
-    } else if (what < 90 && !attempts_.empty()) {
+    } else if (event < 90 && !attempts_.empty()) {
       end_attempt();
-    } else if (what < 93 && !queued_.empty()) {
+    } else if (event < 93 && !queued_.empty()) {
       disconnect();
-    } else if (what == 99) {
+    } else if (event == 99) {
       reload();
     }
   }
-  // Serves what is queued, in bounded time.
+  // Serves all queued requests within a bounded number of steps.
   void serve() {
     for (int i = 0; i < 20'000 && !queued_.empty(); ++i) {
       now_ += 10ms;
@@ -369,12 +370,12 @@
     const auto offered = shares_.next_requests(static_cast<ClassIndex>(random(2)));
     if (offered.empty()) return;
     const auto id = offered.front();
-    ASSERT_TRUE(queued_.contains(id)) << "offered what does not wait";
+    ASSERT_TRUE(queued_.contains(id)) << "a request was offered that is not queued";
     shares_.attempt_started(id);
     queued_.erase(id);
     ++attempts_[id];
   }
-  // A request's last attempt ends; a quarter are queued again, before the final answer of each.
+  // Ends the last attempt of a request. A quarter of the requests are queued again before their final answer.
   void end_attempt() {
     const auto found = std::next(attempts_.begin(), random(static_cast<unsigned>(attempts_.size())));
     const auto id = found->first;
@@ -418,8 +419,9 @@
   std::set<RequestId> queued_;
 };
 
-// With nobody over its slack, a free thread finds whoever waits, in each step of a random events.
-TEST(Shares, KeepTheirSumsAndLeaveNobodyStarving) {
+// After each random event the sums must agree, and at the end all queued requests must be served. No group
+// stays above its slack, so a free thread must find any waiting request.
+TEST(Shares, KeepSumsConsistentAndServeAllRequestsUnderRandomEvents) {
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
     RandomEvents events(seed);
     for (int i = 0; i < 3000; ++i) {
@@ -428,12 +430,12 @@
       ASSERT_EQ(events.shares().find_inconsistency(), "") << "seed " << seed << ", step " << i;
     }
     events.serve();
-    EXPECT_EQ(events.queued(), 0u) << "seed " << seed << ": so many starve";
+    EXPECT_EQ(events.queued(), 0u) << "seed " << seed << ": expected no starving requests";
     EXPECT_EQ(events.shares().requests(), 0u);
   }
 }
 
-TEST(Shares, GoOnOverAReloadWithTheirRequestsAndDebts) {
+TEST(Shares, KeepRequestsAndDebtsOverAReload) {
   GroupsSimulation simulation("{a: {weight: 1}, b: {weight: 1}}", 8);
   simulation.sources = {{"a", 0, 50ms, 20}, {"b", 0, 50ms, 20}};
   simulation.run(5s);
@@ -448,19 +450,20 @@
   EXPECT_NEAR(share["b"], 0.75, 0.02);
 }
 
-TEST(Shares, RequestsOfARemovedGroupRunToTheirEnd) {
+TEST(Shares, FinishRequestsOfARemovedGroup) {
   GroupsSimulation simulation("{a: {}, b: {}}", 1);
   for (int i = 0; i < 5; ++i) (void)simulation.request("a", 0, 50ms);
   simulation.step();
   simulation.shares.reload(tree("{b: {}}"));
   EXPECT_EQ(simulation.shares.requests(), 5u);
-  EXPECT_EQ(simulation.request("a", 0, 50ms), Limit::none);  // made anew, as this simulation's groups may be
+  // The group is created again, since the simulation allows creation on demand.
+  EXPECT_EQ(simulation.request("a", 0, 50ms), Limit::none);
   simulation.run(1s);
   EXPECT_EQ(simulation.shares.requests(), 0u);
   EXPECT_NEAR(simulation.used["a"], 6 * 0.05, 0.04);
 }
 
-TEST(Shares, MadeGroupsAreBoundedAndGoWhenIdle) {
+TEST(Shares, LimitGroupsCreatedOnDemandAndRemoveIdleOnes) {
   ShareSettings settings;
   settings.most_made = 3;
   settings.made_idle = 10s;
@@ -472,24 +475,24 @@
   EXPECT_EQ(shares.admit(4, "t.g4", false, {}), Limit::unknown_group);
   shares.request_finished(1);
   EXPECT_EQ(shares.admit(4, "t.g4", true, {}), Limit::made);
-  shares.advance_time(12s, 4);  // the idle one is gone by itself
+  shares.advance_time(12s, 4);  // the idle group has been removed
   EXPECT_EQ(shares.view().size(), 4u);
   EXPECT_EQ(shares.admit(4, "t.g4", true, {}), Limit::none);
   EXPECT_EQ(shares.find_inconsistency(), "");
 }
 
-// Eight routers with uneven traffic, one with most of group a's; with gossip, a tenth of the messages is
-// lost.
+// Simulates eight routers with uneven traffic: one receives most of the traffic of group a. With gossip, a
+// tenth of the messages is lost.
 class UnevenRouters {
  public:
   explicit UnevenRouters(bool gossip_enabled) : gossip_enabled_(gossip_enabled) {
     for (unsigned i = 0; i < kRouters; ++i) {
       routers_.push_back(std::make_unique<GroupsSimulation>("{a: {weight: 6}, b: {weight: 4}}", 6));
       routers_[i]->now += Time(i + 1);
-      // Of a, 60 percent come to router 0; the others see little of a, and b.
+      // Router 0 gets 60 percent of the requests of a; the others get few of a, and those of b.
       routers_[i]->sources = {{"a", 0, 40ms, i == 0 ? 60u : 6u}, {"b", 0, 60ms, i == 0 ? 2u : 10u}};
     }
-    routers_[0]->sources[1].count = 0;  // nobody of b comes here
+    routers_[0]->sources[1].count = 0;  // router 0 gets no requests of b
   }
   void run(Time length) {
     for (Time elapsed{}; elapsed < length; elapsed += 5ms) {
@@ -518,7 +521,7 @@
   std::mt19937 random_{7};
 };
 
-TEST(Shares, HoldAcrossRoutersThatGossip) {
+TEST(Shares, MatchTheWeightsAcrossRoutersWithGossip) {
   for (const bool gossip_enabled : {true, false}) {
     UnevenRouters routers(gossip_enabled);
     routers.run(5s);
@@ -529,11 +532,11 @@
     if (gossip_enabled)
       EXPECT_NEAR(share, 0.6, 0.05 * 0.6);
     else
-      EXPECT_GT(share, 0.62);  // router 0 serves a alone, and nobody makes up for it
+      EXPECT_GT(share, 0.62);  // router 0 serves only a, and no other router compensates for it
   }
 }
 
-TEST(Shares, ChargeUsageElsewhereOnceThoughMessagesAreLostOrRepeated) {
+TEST(Shares, ChargeUseElsewhereOnceIfMessagesAreLostOrRepeated) {
   GroupsSimulation sender("{a: {}, b: {}}", 4);
   sender.sources = {{"a", 0, 50ms, 10}};
   Shares receiver(tree("{a: {}, b: {}}"), {{1, false}, {4, false}}, {});
@@ -560,7 +563,7 @@
   (void)restarted.admit(1, "a", false, {});
   restarted.attempt_started(1);
   for (const auto& message : restarted.gossip_messages(1)) receiver.receive_gossip(3, message);
-  EXPECT_EQ(used(receiver, true), before) << "its sum began anew, and is not taken for less";
+  EXPECT_EQ(used(receiver, true), before) << "the sum of a restarted router must not be taken for a decrease";
 }
 
 TEST(Shares, IgnoreMalformedMessages) {
@@ -573,7 +576,7 @@
   EXPECT_EQ(shares.find_inconsistency(), "");
 }
 
-TEST(Shares, AStalledRouterComesBackWithoutOldCredit) {
+TEST(Shares, BoundTheCreditAfterARouterWasStalled) {
   GroupsSimulation stalled("{a: {}, b: {}}", 8), other("{a: {}, b: {}}", 8);
   stalled.sources = {{"a", 0, 50ms, 20}, {"b", 0, 50ms, 20}};
   other.sources = {{"b", 0, 50ms, 40}};
@@ -583,13 +586,13 @@
   stalled.run(2s);
   other.run(2s);
   send_gossip();
-  other.run(20s);  // meanwhile the first one stands still, and b runs elsewhere
+  other.run(20s);  // meanwhile the first router is stalled, and b runs on the other one
   stalled.now += 20s;
   send_gossip();
-  stalled.step();  // what was out ends
+  stalled.step();  // attempts in flight end
   const double before = stalled.used["a"];
   stalled.run(1s);
-  // What b used elsewhere counts, but no more than the bound: a is not served alone for twenty seconds.
+  // The use of b on the other router counts only up to the bound: a must not be served alone for 20 seconds.
   EXPECT_LT(stalled.used["a"] - before, 8.5);
   stalled.run(40s);
   EXPECT_NEAR(stalled.shares_over(10s)["b"], 0.5, 0.02);
@@ -608,12 +611,12 @@
 
 Schedules schedules(const std::string& yaml) {
   auto section = yaml::Section::text("schedules: " + yaml, "test");
-  auto read = Schedules::read(section, tree("{reports: {weight: 2}, lookups: {weight: 5}}"));
+  auto result = Schedules::read(section, tree("{reports: {weight: 2}, lookups: {weight: 5}}"));
   section.close();
-  return read;
+  return result;
 }
 
-TEST(Schedules, FollowLocalTimeAndDays) {
+TEST(Schedules, AreActiveByLocalTimeAndDay) {
   const auto nights = schedules(
       "[{name: nights, days: [mon], from: \"22:00\", to: \"06:00\", zone: Europe/Riga, set: {reports: "
       "{weight: 8}}}]");
@@ -625,7 +628,7 @@
   EXPECT_TRUE(nights.overrides_at(utc(2026, 12, 1, 20, 30)).empty());  // Tuesday
 }
 
-TEST(Schedules, KeepToTheClockOnTheWallWhenItChanges) {
+TEST(Schedules, UseLocalTimeAcrossClockChanges) {
   // In Riga clocks went from 04:00 to 03:00 on 2026-10-25 and from 03:00 to 04:00 on 2026-03-29.
   const auto s = schedules(
       R"([{name: early, from: "03:30", to: "05:00", zone: Europe/Riga, set: {reports: {weight: 8}}}])");
@@ -634,12 +637,12 @@
   EXPECT_FALSE(s.overrides_at(utc(2026, 10, 25, 2, 59)).empty());  // 04:59, winter time
   EXPECT_TRUE(s.overrides_at(utc(2026, 10, 25, 3, 0)).empty());
   EXPECT_TRUE(s.overrides_at(utc(2026, 3, 29, 0, 59)).empty());
-  EXPECT_FALSE(
-      s.overrides_at(utc(2026, 3, 29, 1, 0)).empty());  // 03:30 does not come; it begins at the change
+  // 03:30 does not exist on that day; the window begins at the clock change.
+  EXPECT_FALSE(s.overrides_at(utc(2026, 3, 29, 1, 0)).empty());
   EXPECT_TRUE(s.overrides_at(utc(2026, 3, 29, 2, 0)).empty());
 }
 
-TEST(Schedules, RiseAndFallOverTheirRamp) {
+TEST(Schedules, ChangeValuesGraduallyOverTheRamp) {
   const auto s = schedules(
       "[{name: day, from: \"10:00\", to: \"12:00\", ramp: 10min, set: {reports: {weight: 12, max_threads: "
       "4}}}]");
@@ -650,7 +653,7 @@
   EXPECT_EQ(s.active_names(utc(2026, 12, 1, 10, 5)), std::vector<std::string>{"day 50%"});
 }
 
-TEST(Schedules, LaterOnesHoldAndOnceMeansOnce) {
+TEST(Schedules, LetLaterWindowsTakePrecedenceAndRunDatedOnesOnce) {
   const auto s = schedules(
       "[{name: always, from: \"00:00\", to: \"24:00\", set: {reports: {weight: 3}, lookups: {weight: 4}}},"
       "{name: fair, from: \"2026-12-24T18:00\", to: \"2026-12-27T00:00\", zone: Europe/Riga, set: {reports: "
@@ -661,7 +664,7 @@
   EXPECT_EQ(s.overrides_at(utc(2027, 12, 24, 16, 0))[1].weight, 3);
 }
 
-TEST(Schedules, ErrorsNameTheirPlace) {
+TEST(Schedules, ReportErrorsWithTheirPosition) {
   for (const auto& [yaml, expected_place] : std::vector<std::pair<std::string, std::string>>{
            {R"([{name: x, from: "25:00", to: "06:00", set: {reports: {weight: 8}}}])", "from"},
            {R"([{name: x, from: "22:00", to: "06:00", zone: Europe/Rigga, set: {reports: {weight: 8}}}])",
@@ -681,8 +684,8 @@
   }
 }
 
-// A change of shares in the middle of a burst loses no request and acts within two seconds.
-TEST(Schedules, MoveSharesMidBurst) {
+// A change of shares during a burst must lose no request and take effect within two seconds.
+TEST(Schedules, ChangeSharesDuringABurst) {
   GroupsSimulation simulation("{a: {weight: 1}, b: {weight: 1}}", 12);
   simulation.sources = {{"a", 0, 60ms, 50}, {"b", 0, 60ms, 50}};
   simulation.run(5s);
