--- a/tests/groups/shares_test.cpp
+++ b/tests/groups/shares_test.cpp
@@ -256,7 +256,7 @@
     simulation.sources[0].count = simulation.sources[1].count = 0;
     simulation.run(pause);
     simulation.sources[0].count = simulation.sources[1].count = 20;
-    const auto share = simulation.shares_over(400ms)["b"];  // 400 ms: the time covered by the credit
+    const auto share = simulation.shares_over(400ms)["b"];  // less than the credit of 500 ms
 
     if (pause == Time(1s))
       EXPECT_GT(share, 0.9);
