--- a/src/groups/shares_reload.cpp
+++ b/src/groups/shares_reload.cpp
@@ -1,11 +1,14 @@
-// Changes of configuration: another tree, and weights and limits by schedule.
+// Implements configuration changes of Shares: replacing the tree, and setting weights and limits by schedule.
 //
-// Rule: a reload builds all groups anew, then finds each old group's place (by path, by the path it `was`, or
-// made again under its parent's new place), carries over its use, its debts and its rejections, and queues
-// the requests again in order of arrival. Requests of groups that have no place go to the group "removed".
-// Failure: a reload under load that rejects or forgets queued requests, or lets a group that owes begin at
-// zero; it shows as time-outs and as a share that jumps after each change. Guard: requests and debts are
-// carried over completely, `inconsistency` holds after each reload (shares_test).
+// A reload builds all groups anew and then finds the new place of each old group: by its path, by the path
+// that the new group names under `was`, or, for a group created on demand, by creating it again under the new
+// place of its parent. The used engine time, the offset from the floor and the rejection counts are copied,
+// and the requests are queued again in order of arrival. Requests of groups without a new place go to the
+// group "removed".
+//
+// A reload under load must not reject or lose queued requests, nor reset a group's debt. Such a fault shows
+// as timeouts and as a share that jumps after each change. shares_test checks that `find_inconsistency` finds
+// nothing after each reload.
 #include <algorithm>
 #include <numeric>
 #include <utility>
@@ -19,7 +22,7 @@
   const auto requests = std::exchange(requests_, {});
   tree_ = std::move(tree);
   running_.clear();
-  limits_.forget_deadlines();
+  limits_.clear_deadlines();
   directory_.build(tree_);
 
   std::vector<GroupNumber> by_depth(old.size());
@@ -31,15 +34,16 @@
   carry_over(requests, places);
   for (GroupNumber group = 1; group < nodes_.size(); ++group) order_.rekey(group);
   const auto overrides = std::exchange(overrides_, {});
-  adjust(overrides);
+  set_overrides(overrides);
 }
 
-// Where old groups are now; none: removed. Parents before children, since made groups follow their parents.
+// Returns the new numbers of the old groups; nullopt: removed. Parents come before children, because a group
+// created on demand follows its parent.
 Shares::Places Shares::find_places(const GroupNodes& old, const std::vector<GroupNumber>& by_depth) {
   std::map<std::string, GroupNumber, std::less<>> by_old_path;
   for (GroupNumber group = 1; group < nodes_.size(); ++group) {
     const auto& settings = nodes_[group].settings;
-    by_old_path[settings.was.empty() ? settings.path : settings.was] = group;
+    by_old_path[settings.previous_path.empty() ? settings.path : settings.previous_path] = group;
   }
   Places places(old.size());
   places[kRootGroup] = kRootGroup;
@@ -50,7 +54,7 @@
     const auto& parent_place = places[before.parent];
     if (found != by_old_path.end()) {
       places[group] = found->second;
-    } else if (before.made && before.settings.path != kRemovedGroup && parent_place) {
+    } else if (before.on_demand && before.settings.path != kRemovedGroup && parent_place) {
       auto path = nodes_[*parent_place].settings.path;
       if (!path.empty()) path += '.';
       path += before.settings.name;
@@ -95,7 +99,7 @@
     if (place && nodes_[*place].leaf()) {
       resume(id, request, *place);
     } else {
-      resume(id, request, directory_.place_of_removed());
+      resume(id, request, directory_.removed_group());
     }
   }
 }
@@ -105,7 +109,7 @@
   request.node = leaf;
   request.waiting = false;
   shares_.count_request(leaf);
-  if (!request.settled) limits_.watch_run(id, request.run_until);
+  if (!request.finished) limits_.watch_run(id, request.run_deadline);
   if (request.running()) running_.insert(id);
   for (const auto& attempt : request.in_flight)
     if (!attempt.ended) limits_.add_running(leaf, request.query);
@@ -132,7 +136,7 @@
   apply({.path = change.path, .weight = {}, .min_threads = {}, .max_threads = {}});
 }
 
-void Shares::adjust(const std::vector<Override>& overrides) {
+void Shares::set_overrides(const std::vector<Override>& overrides) {
   if (overrides == overrides_) return;
   for (const auto& change : overrides_) revert(change);
   overrides_ = overrides;
--- a/src/path/decision_loop.cpp
+++ b/src/path/decision_loop.cpp
@@ -140,9 +140,9 @@
 void DecisionLoop::apply_schedules() {
   auto& shares = *registry_.groups();
   const auto unix_time = environment_.now() + environment_.unix_offset();
-  shares.at(environment_.now(), registry_.decision_engine().pool_threads());
-  shares.adjust(schedules_->at(unix_time));
-  auto in_force = schedules_->in_force(unix_time);
+  shares.advance_time(environment_.now(), registry_.decision_engine().pool_threads());
+  shares.set_overrides(schedules_->overrides_at(unix_time));
+  auto in_force = schedules_->active_names(unix_time);
   if (in_force == schedules_in_force_) return;
   metrics_.group_schedule_changes->Increment();
   environment_.log(Level::info,
@@ -161,7 +161,7 @@
     metrics_.begin_group_scan();
   }
   std::vector<groups::GroupView> views;
-  const bool more = registry_.groups()->view_some(next_group_, kGroupsPerRefresh, views);
+  const bool more = registry_.groups()->scan_views(next_group_, kGroupsPerRefresh, views);
   for (const auto& group : views) {
     append_group_view(group);
     metrics_.add_group(group);
@@ -177,7 +177,7 @@
   groups_json_ += fmt::format(
       R"({}{{"path":{},"depth":{},"made":{},"weight":{:.4g},"share_set":{:.4f},"share_got":{:.4f},"lent":{:.4f},"engine_seconds":{:.3f},"told_seconds":{:.3f},"queued":{},"running_threads":{},"refused":{{)",
       group.depth > 0 ? "," : "", quoted(group.path), group.depth, group.made, group.weight, group.share_set,
-      group.share_got, group.lent, group.used_s, group.heard_s, group.queued, group.running);
+      group.share_got, group.lent, group.used_s, group.used_elsewhere_s, group.queued, group.running);
   bool first = true;
   for (const auto& [limit, count] : group.refused) {
     groups_json_ += fmt::format(R"({}"{}":{})", first ? "" : ",", limit, count);
@@ -191,7 +191,7 @@
     auto section = yaml::Section::text(text, config_.groups->file);
     auto plan = groups::Plan::read(section);
     const auto open_requests = registry_.groups()->requests();
-    registry_.groups()->at(environment_.now(), registry_.decision_engine().pool_threads());
+    registry_.groups()->advance_time(environment_.now(), registry_.decision_engine().pool_threads());
     registry_.groups()->reload(std::move(plan.tree));
     schedules_ = std::move(plan.schedules);
     const SelectorsPtr selectors = std::make_shared<const groups::Selectors>(std::move(plan.selectors));
--- a/src/path/decision_loop.hpp
+++ b/src/path/decision_loop.hpp
@@ -76,8 +76,8 @@
   std::function<void()> on_ready_;
   Time max_event_delay_{};  // longest wait of an event since the last update_metrics()
   std::vector<std::string> schedules_in_force_;
-  groups::Shares::Number next_group_ = 0;  // position of refresh_group_views()
-  std::string groups_json_;                // built so far by refresh_group_views()
+  groups::Shares::ViewCursor next_group_ = 0;  // position of refresh_group_views()
+  std::string groups_json_;                    // built so far by refresh_group_views()
   std::optional<groups::Schedules> schedules_;
 };
 
--- a/src/path/grouping.cpp
+++ b/src/path/grouping.cpp
@@ -20,9 +20,9 @@
   return origin;
 }
 
-groups::Described described(const Origin& origin, std::string cls, std::string tenant,
-                            std::string_view statement) {
-  groups::Described description;
+groups::RequestAttributes described(const Origin& origin, std::string cls, std::string tenant,
+                                    std::string_view statement) {
+  groups::RequestAttributes description;
   description.cls = std::move(cls);
   description.tenant = std::move(tenant);
   description.operation = origin.operation;
--- a/src/path/grouping.hpp
+++ b/src/path/grouping.hpp
@@ -27,7 +27,7 @@
 // Returns the properties of a request received from `address`, with the headers that `selectors` match.
 Origin origin_of(const http::Parser& request, const groups::Selectors& selectors, std::string address);
 // Returns the input for group selection. The result refers to `origin`, which must outlive it.
-groups::Described described(const Origin& origin, std::string cls, std::string tenant,
-                            std::string_view statement);
+groups::RequestAttributes described(const Origin& origin, std::string cls, std::string tenant,
+                                    std::string_view statement);
 
 }  // namespace heronwell::path
--- a/src/path/shard.cpp
+++ b/src/path/shard.cpp
@@ -179,12 +179,12 @@
   if (!selection.group.empty()) {
     request->group = std::move(selection.group);
     spec.group = request->group;
-    spec.may_create_group = selection.made;
+    spec.may_create_group = selection.from_template;
     return true;
   }
   router::Problem problem;
   problem.status = 403;
-  problem.detail = std::move(selection.why);
+  problem.detail = std::move(selection.reason);
   metrics_.invalid_requests->Increment();
   record_finished(request, {'B', '-'}, problem.status);
   responses_.respond_with_problem(request, problem);
--- a/src/router/request_registry.cpp
+++ b/src/router/request_registry.cpp
@@ -80,7 +80,7 @@
   request.state = to;
   if (to != RequestState::finished) return;
   --open_;
-  if (groups_) groups_->settled(request.id);
+  if (groups_) groups_->request_finished(request.id);
 }
 
 void RequestRegistry::add_request(Time now, const RequestSpec& spec) {
@@ -106,7 +106,7 @@
   if (!groups_) return groups::Limit::none;
   update_groups(now);
   const auto& request = spec.request;
-  return groups_->enter(id, spec.group, spec.may_create_group,
+  return groups_->admit(id, spec.group, spec.may_create_group,
                         {request.class_index, request.estimated_memory_mb, request.estimated_work});
 }
 
@@ -177,10 +177,10 @@
   event.attempt = static_cast<AttemptIndex>(index);
   event.engine = attempt.engine;
   event.request_finished = request.state == RequestState::finished;
-  if (groups_) groups_->ended(request.id, index, !proves_never_ran(event.result));
+  if (groups_) groups_->attempt_ended(request.id, index, !proves_never_ran(event.result));
   if (request.state == RequestState::in_flight && std::ranges::all_of(request.attempts, &Attempt::ended)) {
     change_state(request, RequestState::queued);
-    if (groups_) groups_->waits(request.id);
+    if (groups_) groups_->request_requeued(request.id);
   }
   events_.emplace_back(std::move(event));
   forget_candidates_.push_back(request.id);
@@ -232,7 +232,8 @@
 }
 
 void RequestRegistry::gossip_received(std::uint32_t from_router, std::string bytes) {
-  if (groups_ && bytes.starts_with(groups::Shares::kMark)) return groups_->hear(from_router, bytes);
+  if (groups_ && bytes.starts_with(groups::Shares::kGossipFirstByte))
+    return groups_->receive_gossip(from_router, bytes);
   events_.emplace_back(GossipReceived{from_router, std::move(bytes)});
 }
 
@@ -251,7 +252,7 @@
 }
 
 void RequestRegistry::update_groups(Time now) {
-  if (groups_) groups_->at(now, decision_engine_.pool_threads());
+  if (groups_) groups_->advance_time(now, decision_engine_.pool_threads());
 }
 
 // Called after all events received so far have been applied, so that a response that was received in the same
@@ -272,7 +273,7 @@
 // decision engine receives ClientDisconnected, since it needs to do nothing more for such a request.
 void RequestRegistry::enforce_group_limits() {
   if (!groups_) return;
-  for (const auto& [id, limit] : groups_->over()) {
+  for (const auto& [id, limit] : groups_->take_overdue()) {
     auto& request = requests_.at(id);
     if (!is_open(request.state)) continue;
     events_.emplace_back(ClientDisconnected{id});
@@ -365,7 +366,7 @@
   const auto interval_factor = std::max(1U, settings_.router_count / kMaxRoutersAtFullGossipRate);
   if (now < group_gossip_sent_at_ + kGroupGossipInterval * interval_factor) return;
   group_gossip_sent_at_ = now;
-  for (auto& bytes : groups_->tell(kMaxGossipMessagesPerRound))
+  for (auto& bytes : groups_->gossip_messages(kMaxGossipMessagesPerRound))
     out.emplace_back(ForwardGossip{std::nullopt, std::move(bytes)});
 }
 
@@ -496,7 +497,7 @@
   if (!timers_.empty()) due = std::min(due, *timers_.begin());
   if (!attempt_deadlines_.empty()) due = std::min(due, std::get<Time>(*attempt_deadlines_.begin()));
   if (!deadlines_.empty()) due = std::min(due, deadlines_.begin()->first);
-  if (groups_) due = std::min(due, groups_->next_due());
+  if (groups_) due = std::min(due, groups_->next_deadline());
   return due;
 }
 
