--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -13,12 +13,12 @@
   driver.request(1, 0);  // comes with 5 s left, as all do
   driver.finish(1, 0, driver.started.back().engine, AttemptResult::served);
   driver.now += 2s;
-  RequestArrived old, young;
-  old.request = 2;
-  old.time_left = 3200ms;
-  young.request = 3;
-  young.time_left = 4900ms;
-  driver.handle(driver.now, {old, young});
+  RequestArrived late, recent;
+  late.request = 2;
+  late.time_left = 3200ms;
+  recent.request = 3;
+  recent.time_left = 4900ms;
+  driver.handle(driver.now, {late, recent});
   EXPECT_EQ(driver.final_answers(2), 1);
   EXPECT_EQ(driver.attempts_of(2), 0);
   EXPECT_EQ(driver.attempts_of(3), 1);
@@ -30,37 +30,37 @@
 // One tenant sends twenty times its quota. The arrival rate rose with the flood, and the quota is a part of
 // that rate, so the flood was soon within it. The rate does not follow a flood.
 TEST(TenantQuota, AFloodDoesNotRaiseTheQuotaItIsMeasuredAgainst) {
-  Settings s = basic_settings();
-  s.over_quota_weight = 0.05;
-  s.health_checks_enabled = true;
-  s.load_fields = {LoadField::in_flight};
-  s.tenants = {{"a", 0.5, 5}, {"b", 0.5, 5}};
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.over_quota_weight = 0.05;
+  settings.health_checks_enabled = true;
+  settings.load_fields = {LoadField::in_flight};
+  settings.tenants = {{"a", 0.5, 5}, {"b", 0.5, 5}};
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8)});
   RequestId id = 0;
-  const auto second = [&](int of_first) {
+  const auto run_one_second = [&](int requests_of_first) {
     std::vector<int> served(2);
-    for (int n = 0; n < of_first + 5; ++n) {
-      RequestArrived a;
-      a.request = ++id;
-      a.tenant = n < of_first ? 0 : 1;
-      a.time_left = 5s;
+    for (int n = 0; n < requests_of_first + 5; ++n) {
+      RequestArrived arrival;
+      arrival.request = ++id;
+      arrival.tenant = n < requests_of_first ? 0 : 1;
+      arrival.time_left = 5s;
       HealthCheckResult check;
       check.engine = 7 + id % 2;
-      check.load = {of_first > 5 ? 7.0 : 0.0};  // the others congest it, past 1.5 threads a core
-      driver.handle(driver.now, {check, a});
+      check.load = {requests_of_first > 5 ? 7.0 : 0.0};  // the others congest it, past 1.5 threads a core
+      driver.handle(driver.now, {check, arrival});
       if (driver.attempts_of(id) > 0) {
-        ++served[a.tenant];
+        ++served[arrival.tenant];
         driver.finish(id, 0, driver.started.back().engine, AttemptResult::served, 50ms);
       }
-      driver.run_until(driver.now + 1000ms / (of_first + 5));
+      driver.run_until(driver.now + 1000ms / (requests_of_first + 5));
     }
     return served;
   };
-  for (int n = 0; n < 12; ++n) second(5);
+  for (int n = 0; n < 12; ++n) run_one_second(5);
   int flooding = 0, other = 0;
   for (int n = 0; n < 10; ++n) {
-    const auto served = second(100);
+    const auto served = run_one_second(100);
     flooding += served[0];
     other += served[1];
   }
@@ -71,18 +71,18 @@
 // One tenant floods the router while no engine is ready. Beyond its quota it is rejected on arrival; a
 // request of another tenant is not.
 TEST(TenantQuota, AFloodIsRejectedOnceRequestsWaitAndOthersAreNot) {
-  Settings s = basic_settings();
-  s.over_quota_weight = 0.05;
-  s.tenants = {{"calm", 0.5, 20}, {"flood", 0.5, 20}};
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.over_quota_weight = 0.05;
+  settings.tenants = {{"calm", 0.5, 20}, {"flood", 0.5, 20}};
+  DecisionDriver driver(settings);
   driver.update_endpoints({});
   RequestId id = 0;
   const auto send = [&](std::uint32_t tenant) {
-    RequestArrived a;
-    a.request = ++id;
-    a.tenant = tenant;
-    a.time_left = 5s;
-    driver.handle(driver.now, {a});
+    RequestArrived arrival;
+    arrival.request = ++id;
+    arrival.tenant = tenant;
+    arrival.time_left = 5s;
+    driver.handle(driver.now, {arrival});
     return id;
   };
   for (int i = 0; i < 60; ++i) send(1);
@@ -94,31 +94,31 @@
 // One query of many times the usual work took the place of several, and half of all were rejected. While the
 // fleet is congested the largest are rejected first, and a usual one never is for its size.
 TEST(QuerySize, WhileCongestedTheLargestAreRejectedFirst) {
-  Settings s = basic_settings();
-  s.classes.resize(1);
-  s.load_fields = {LoadField::in_flight};
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.classes.resize(1);
+  settings.load_fields = {LoadField::in_flight};
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8)});
-  const auto play = [&driver](RequestId from, double inflight) {
+  const auto send_requests = [&driver](RequestId from, double reported_in_flight) {
     for (RequestId id = from; id < from + 60; ++id) {
       driver.handle(driver.now, {estimated_request(id, 100ms)});
       if (driver.attempts_of(id) == 1) {
-        AttemptFinished o;
-        o.request = id;
-        o.engine = driver.engine_of(id, 0);
-        o.latency = 100ms;
-        o.request_finished = true;
-        o.load = {inflight};
-        driver.handle(driver.now, {o});
+        AttemptFinished outcome;
+        outcome.request = id;
+        outcome.engine = driver.engine_of(id, 0);
+        outcome.latency = 100ms;
+        outcome.request_finished = true;
+        outcome.load = {reported_in_flight};
+        driver.handle(driver.now, {outcome});
       }
       driver.run_until(driver.now + 100ms);
     }
   };
-  play(1, 1);
+  send_requests(1, 1);
   driver.handle(driver.now, {estimated_request(500, 400ms)});
   EXPECT_EQ(driver.final_answers(500), 0) << "not congested";
   driver.finish(500, 0, driver.engine_of(500, 0), AttemptResult::served);
-  play(101, 5.5);
+  send_requests(101, 5.5);
   driver.handle(driver.now, {estimated_request(501, 400ms), estimated_request(502, 100ms)});
   EXPECT_EQ(driver.final_answers(501), 1);
   EXPECT_EQ(driver.final_answers(502), 0);
@@ -139,19 +139,19 @@
 // slower than usual show it as well.
 TEST(TenantQuota, SlowAnswersShowCongestionAndAFloodIsRejectedWithoutLoadReports) {
   for (const bool slow : {false, true}) {
-    Settings s = basic_settings();
-    s.classes.resize(1);
-    s.over_quota_weight = 0.1;
-    s.tenants = {{"calm", 0.5, 5}, {"flood", 0.5, 5}};
-    DecisionDriver driver(s);
+    Settings settings = basic_settings();
+    settings.classes.resize(1);
+    settings.over_quota_weight = 0.1;
+    settings.tenants = {{"calm", 0.5, 5}, {"flood", 0.5, 5}};
+    DecisionDriver driver(settings);
     driver.update_endpoints({endpoint(7), endpoint(8)});
     RequestId id = 0;
     const auto send = [&](std::uint32_t tenant, Time latency) {
-      RequestArrived a;
-      a.request = ++id;
-      a.tenant = tenant;
-      a.time_left = 5s;
-      driver.handle(driver.now, {a});
+      RequestArrived arrival;
+      arrival.request = ++id;
+      arrival.tenant = tenant;
+      arrival.time_left = 5s;
+      driver.handle(driver.now, {arrival});
       if (driver.attempts_of(id) == 1)
         driver.finish(id, 0, driver.engine_of(id, 0), AttemptResult::served, latency);
     };
--- a/tests/decision/decision_driver.hpp
+++ b/tests/decision/decision_driver.hpp
@@ -14,37 +14,37 @@
 using namespace std::chrono_literals;
 
 // Classes of basic_settings(): idempotent; not idempotent; with an idempotency key, in the scope of a zone.
-constexpr ClassIndex kQuick = 0, kOnce = 1, kKeyed = 2;
+constexpr ClassIndex kIdempotent = 0, kNotIdempotent = 1, kWithKey = 2;
 
 inline Settings basic_settings() {
-  Settings s;
-  s.router_count = 1;
-  s.max_attempts = 3;
-  s.retry_after_enabled = true;
-  s.max_retry_after = 500ms;
-  s.cancellation_enabled = true;
-  s.machine_types = {{"one", 4, 8192}, {"two", 4, 8192}};
-  ClassSettings quick;
-  quick.name = "quick";
-  quick.latency_objective = 1s;
-  quick.timeout = 5s;
-  ClassSettings once = quick;
-  once.name = "once";
-  once.latency_objective = 2s;
-  once.idempotency = Idempotency::not_idempotent;
-  ClassSettings keyed = quick;
-  keyed.name = "keyed";
-  keyed.latency_objective = 3s;
-  keyed.idempotency = Idempotency::idempotency_key;
-  keyed.deduplication_scope = DeduplicationScope::zone;
-  keyed.deduplication_window = 2s;
-  s.classes = {quick, once, keyed};
-  s.slow_start_initial_capacity = 0.4;
-  s.slow_start_duration = 10s;
-  s.slow_start_overload_ratio = 2.5;
-  s.slow_start_overload_window = 2s;
-  s.drain_grace_period = 500ms;
-  return s;
+  Settings settings;
+  settings.router_count = 1;
+  settings.max_attempts = 3;
+  settings.retry_after_enabled = true;
+  settings.max_retry_after = 500ms;
+  settings.cancellation_enabled = true;
+  settings.machine_types = {{"one", 4, 8192}, {"two", 4, 8192}};
+  ClassSettings idempotent;
+  idempotent.name = "quick";
+  idempotent.latency_objective = 1s;
+  idempotent.timeout = 5s;
+  ClassSettings not_idempotent = idempotent;
+  not_idempotent.name = "once";
+  not_idempotent.latency_objective = 2s;
+  not_idempotent.idempotency = Idempotency::not_idempotent;
+  ClassSettings with_key = idempotent;
+  with_key.name = "keyed";
+  with_key.latency_objective = 3s;
+  with_key.idempotency = Idempotency::idempotency_key;
+  with_key.deduplication_scope = DeduplicationScope::zone;
+  with_key.deduplication_window = 2s;
+  settings.classes = {idempotent, not_idempotent, with_key};
+  settings.slow_start_initial_capacity = 0.4;
+  settings.slow_start_duration = 10s;
+  settings.slow_start_overload_ratio = 2.5;
+  settings.slow_start_overload_window = 2s;
+  settings.drain_grace_period = 500ms;
+  return settings;
 }
 
 class DecisionDriver {
@@ -75,19 +75,21 @@
   void update_endpoints(std::vector<Endpoint> endpoints, UpdateKind kind = UpdateKind::snapshot) {
     handle(now, {EndpointUpdate{kind, std::move(endpoints)}});
   }
-  void request(RequestId id, ClassIndex cls, Time left = 5s, std::uint64_t key = 0, std::int64_t group = 1) {
+  void request(RequestId id, ClassIndex cls, Time time_left = 5s, std::uint64_t order_key = 0,
+               std::int64_t data_group = 1) {
     RequestArrived arrival;
     arrival.request = id;
     arrival.class_index = cls;
-    arrival.time_left = left;
-    arrival.order_key = key;
-    arrival.data_group = group;
+    arrival.time_left = time_left;
+    arrival.order_key = order_key;
+    arrival.data_group = data_group;
     handle(now, {arrival});
   }
-  void finish(RequestId id, AttemptIndex n, EngineId engine, AttemptResult result, Time latency = 100ms) {
+  void finish(RequestId id, AttemptIndex attempt, EngineId engine, AttemptResult result,
+              Time latency = 100ms) {
     AttemptFinished outcome;
     outcome.request = id;
-    outcome.attempt = n;
+    outcome.attempt = attempt;
     outcome.engine = engine;
     outcome.result = result;
     outcome.latency = latency;
@@ -118,17 +120,17 @@
 };
 
 inline Endpoint endpoint(EngineId id, std::uint16_t zone = 0, std::uint16_t machine_type = 0) {
-  Endpoint e;
-  e.engine = id;
-  e.zone = zone;
-  e.machine_type = machine_type;
-  e.cell = zone;
-  return e;
+  Endpoint entry;
+  entry.engine = id;
+  entry.zone = zone;
+  entry.machine_type = machine_type;
+  entry.cell = zone;
+  return entry;
 }
 
-inline Endpoint with_state(Endpoint e, EndpointState state) {
-  e.state = state;
-  return e;
+inline Endpoint with_state(Endpoint entry, EndpointState state) {
+  entry.state = state;
+  return entry;
 }
 
 // A request of the first class with estimates.
--- a/tests/decision/decision_engine_test.cpp
+++ b/tests/decision/decision_engine_test.cpp
@@ -13,9 +13,9 @@
       driver.request(id, static_cast<ClassIndex>(id % 3));
       driver.run_until(driver.now + 30ms);
     }
-    std::vector<std::pair<RequestId, EngineId>> out;
-    for (const auto& s : driver.started) out.emplace_back(s.request, s.engine);
-    return out;
+    std::vector<std::pair<RequestId, EngineId>> attempts;
+    for (const auto& start : driver.started) attempts.emplace_back(start.request, start.engine);
+    return attempts;
   };
   EXPECT_EQ(run(), run());
 }
--- a/tests/decision/dispatcher_test.cpp
+++ b/tests/decision/dispatcher_test.cpp
@@ -18,11 +18,11 @@
 // Long classes were rejected although their objective, which grows with their work, left time. They stay
 // queued longer.
 TEST(QueueingTime, AClassWhoseObjectiveGrowsWithItsWorkIsQueuedLonger) {
-  Settings s = basic_settings();
-  s.classes[2].idempotency = Idempotency::idempotent;
-  s.classes[2].latency_objective = s.classes[0].latency_objective;
-  s.classes[2].latency_objective_per_work = 8;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.classes[2].idempotency = Idempotency::idempotent;
+  settings.classes[2].latency_objective = settings.classes[0].latency_objective;
+  settings.classes[2].latency_objective_per_work = 8;
+  DecisionDriver driver(settings);
   driver.update_endpoints({});
   driver.request(1, 0);
   driver.request(2, 2);
@@ -34,44 +34,44 @@
 }
 
 TEST(QueueingTime, AQueuedRequestIsRejectedWhenItsExpectedAnswerWouldBeLate) {
-  for (const Time cost : {100ms, 30ms}) {  // of the usual size; small, with more time left to wait
-    Settings s = basic_settings();
-    s.classes.resize(1);
-    DecisionDriver driver(s);
+  for (const Time work : {100ms, 30ms}) {  // of the usual size; small, with more time left to wait
+    Settings settings = basic_settings();
+    settings.classes.resize(1);
+    DecisionDriver driver(settings);
     driver.update_endpoints({endpoint(7)});
     for (RequestId id = 1; id <= 60; ++id) {
       driver.handle(driver.now, {estimated_request(id, 100ms)});
       driver.finish(id, 0, driver.engine_of(id, 0), AttemptResult::served, 250ms);
     }
     driver.update_endpoints({});
-    driver.handle(driver.now, {estimated_request(70, cost)});
+    driver.handle(driver.now, {estimated_request(70, work)});
     driver.run_until(driver.now + 700ms);
-    EXPECT_EQ(driver.final_answers(70), cost == 100ms ? 1 : 0);
+    EXPECT_EQ(driver.final_answers(70), work == 100ms ? 1 : 0);
   }
 }
 
 TEST(Ranking, TheShorterObjectiveGoesFirstAndThenTheHigherPriority) {
-  Settings s = basic_settings();
-  s.machine_types = {{"one", 0.5, 0}};  // one thread
-  s.classes.resize(3);
-  s.classes[0].latency_objective = 2s;
-  s.classes[1].latency_objective = 1s;
-  s.classes[2].latency_objective = 1s;
-  s.classes[1].idempotency = s.classes[2].idempotency = Idempotency::idempotent;
-  s.classes[2].priority_weight = 5;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.machine_types = {{"one", 0.5, 0}};  // one thread
+  settings.classes.resize(3);
+  settings.classes[0].latency_objective = 2s;
+  settings.classes[1].latency_objective = 1s;
+  settings.classes[2].latency_objective = 1s;
+  settings.classes[1].idempotency = settings.classes[2].idempotency = Idempotency::idempotent;
+  settings.classes[2].priority_weight = 5;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7)});
   for (RequestId id = 1; id <= 4; ++id) driver.request(id, 0);
-  const auto filled = driver.started.size();
-  ASSERT_LT(filled, 4U);
+  const auto started_before = driver.started.size();
+  ASSERT_LT(started_before, 4U);
   driver.request(11, 1);
   driver.request(12, 2);
-  ASSERT_EQ(driver.started.size(), filled);
-  for (RequestId id = 1; id <= 4 && driver.started.size() < filled + 2; ++id) {
+  ASSERT_EQ(driver.started.size(), started_before);
+  for (RequestId id = 1; id <= 4 && driver.started.size() < started_before + 2; ++id) {
     if (driver.attempts_of(id) > 0) driver.finish(id, 0, 7, AttemptResult::served);
   }
-  ASSERT_GT(driver.started.size(), filled);
-  EXPECT_EQ(driver.started[filled].request, 12U);
+  ASSERT_GT(driver.started.size(), started_before);
+  EXPECT_EQ(driver.started[started_before].request, 12U);
 }
 
 // No engine is ready, so a request waits. When an answer would miss the latency objective it is rejected,
@@ -79,7 +79,7 @@
 TEST(QueueingTime, AQueuedRequestIsRejectedOnceItsLatencyObjectiveIsLost) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({});
-  driver.request(1, kQuick);
+  driver.request(1, kIdempotent);
   driver.run_until(driver.now + 900ms);
   EXPECT_EQ(driver.rejected[1], 1);
   driver.run_until(driver.now + 6s);
--- a/tests/decision/engine_selector_test.cpp
+++ b/tests/decision/engine_selector_test.cpp
@@ -8,18 +8,18 @@
 // Every router without a query on a full engine still sent one there; with many routers the engine was
 // overloaded. One that is reported full gets nothing.
 TEST(Capacity, AnEngineReportedFullGetsNothing) {
-  Settings s = basic_settings();
-  s.router_count = 8;
-  s.load_fields = {LoadField::in_flight};
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.router_count = 8;
+  settings.load_fields = {LoadField::in_flight};
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7)});
   driver.request(1, 0);
-  AttemptFinished o;
-  o.request = 1;
-  o.engine = 7;
-  o.request_finished = true;
-  o.load = {60};
-  driver.handle(driver.now, {o});
+  AttemptFinished outcome;
+  outcome.request = 1;
+  outcome.engine = 7;
+  outcome.request_finished = true;
+  outcome.load = {60};
+  driver.handle(driver.now, {outcome});
   driver.request(2, 0);
   EXPECT_EQ(driver.attempts_of(2), 0);
 }
@@ -27,17 +27,17 @@
 // Reports are late and the same for all routers: by them alone every router sent to the one idle engine at
 // once. It gets more than the others, but not everything.
 TEST(Capacity, AnEngineReportedIdleDoesNotGetEverything) {
-  Settings s = basic_settings();
-  s.router_count = 4;
-  s.load_fields = {LoadField::in_flight};
-  s.machine_types = {{"one", 16, 0}};
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.router_count = 4;
+  settings.load_fields = {LoadField::in_flight};
+  settings.machine_types = {{"one", 16, 0}};
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9)});
   for (const EngineId id : {7U, 8U, 9U}) {
-    HealthCheckResult p;
-    p.engine = id;
-    p.load = {id == 8 ? 0.0 : 8.0};
-    driver.handle(driver.now, {p});
+    HealthCheckResult check;
+    check.engine = id;
+    check.load = {id == 8 ? 0.0 : 8.0};
+    driver.handle(driver.now, {check});
   }
   for (RequestId id = 1; id <= 8; ++id) driver.request(id, 0);
   EXPECT_LT(driver.attempts_at(8), 8);
@@ -47,48 +47,48 @@
 // Spread evenly, a group's data was in no engine's cache. While load is equal, all routers send a group's
 // queries to the same two engines.
 TEST(DataLocality, QueriesOfADataGroupPreferTheSameTwoEnginesWhileLoadIsEqual) {
-  Settings s = basic_settings();
-  s.machine_types = {{"one", 32, 0}};
-  std::map<EngineId, int> used;
+  Settings settings = basic_settings();
+  settings.machine_types = {{"one", 32, 0}};
+  std::map<EngineId, int> preferred;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    DecisionDriver driver(s, seed);
+    DecisionDriver driver(settings, seed);
     driver.update_endpoints({endpoint(3), endpoint(4), endpoint(5), endpoint(6), endpoint(7)});
     driver.request(1, 0, 5s, 0, 12);
-    ++used[driver.started[0].engine];
+    ++preferred[driver.started[0].engine];
   }
-  EXPECT_EQ(used.size(), 2U);
+  EXPECT_EQ(preferred.size(), 2U);
 }
 
 // Loads of hot data groups ran on nearly every engine, and most short queries waited behind one. Loads of a
 // group now share two engines, which its readers avoid.
 TEST(DataLocality, LoadsOfADataGroupShareTwoEnginesAndReadersAvoidThem) {
-  Settings s = basic_settings();
-  s.classes[1].holds_data_group = true;
-  s.classes[0].waits_for_data_group = true;
-  DecisionDriver one(s, 1), two(s, 2);
+  Settings settings = basic_settings();
+  settings.classes[1].holds_data_group = true;
+  settings.classes[0].waits_for_data_group = true;
+  DecisionDriver one(settings, 1), two(settings, 2);
   for (DecisionDriver* driver : {&one, &two}) {
     driver->update_endpoints({endpoint(3), endpoint(4), endpoint(5), endpoint(6), endpoint(7)});
     for (RequestId id = 1; id <= 4; ++id) driver->request(id, 1, 5s, 0, 12);
   }
-  std::map<EngineId, int> homes;
+  std::map<EngineId, int> load_engines;
   for (const DecisionDriver* driver : {&one, &two})
-    for (const auto& sent : driver->started) ++homes[sent.engine];
-  EXPECT_EQ(homes.size(), 2U) << "both routers choose the same two, though neither hears of the other";
+    for (const auto& sent : driver->started) ++load_engines[sent.engine];
+  EXPECT_EQ(load_engines.size(), 2U) << "both routers choose the same two, though neither hears of the other";
   for (RequestId id = 11; id <= 16; ++id) {
     one.request(id, 0, 5s, 0, 12);
     ASSERT_EQ(one.attempts_of(id), 1);
-    EXPECT_FALSE(homes.contains(one.started.back().engine));
+    EXPECT_FALSE(load_engines.contains(one.started.back().engine));
   }
 }
 
 // In a large fleet a router hears of some engines only. Those without reports counted as idle, and all
 // routers sent there. They count as like the rest, and the engine known to be idle is chosen.
 TEST(LargeFleet, AnEngineWithoutReportsIsNotTakenForIdle) {
-  Settings s = basic_settings();
-  s.router_count = 100;
-  s.health_checks_enabled = true;
-  s.load_fields = {LoadField::in_flight};
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.router_count = 100;
+  settings.health_checks_enabled = true;
+  settings.load_fields = {LoadField::in_flight};
+  DecisionDriver driver(settings);
   std::vector<Endpoint> engines;
   for (EngineId id = 1; id <= 40; ++id) engines.push_back(endpoint(id));
   driver.update_endpoints(engines);
@@ -106,11 +106,11 @@
 
 TEST(Capacity, LaterClassesStopEarlierSoThatTheFirstFindsCapacity) {
   // Traffic has turned to a heavy class for good: the fleet stands between both limits.
-  Settings s = basic_settings();
-  s.router_count = 100;
-  s.health_checks_enabled = true;
-  s.load_fields = {LoadField::in_flight};
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.router_count = 100;
+  settings.health_checks_enabled = true;
+  settings.load_fields = {LoadField::in_flight};
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8)});
   for (EngineId id : {7U, 8U}) {
     HealthCheckResult check;
--- a/tests/decision/forwarding_rules_test.cpp
+++ b/tests/decision/forwarding_rules_test.cpp
@@ -10,7 +10,7 @@
 TEST(FinalAnswer, AShortDeadlineIsKeptWhenNothingStarted) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({});
-  driver.request(1, kOnce, 200ms);
+  driver.request(1, kNotIdempotent, 200ms);
   driver.run_until(driver.now + 200ms);
   EXPECT_EQ(driver.rejected[1], 1) << "nothing ran, so it may be rejected although it is not idempotent";
 }
@@ -20,7 +20,7 @@
 TEST(FinalAnswer, ARequestThatIsNotIdempotentFailsBeforeTheDeadlineWhileInFlight) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7)});
-  driver.request(1, kOnce, 1s);
+  driver.request(1, kNotIdempotent, 1s);
   ASSERT_EQ(driver.attempts_of(1), 1);
   EXPECT_LT(driver.started[0].deadline, driver.now + 1s);
   driver.run_until(driver.now + 1s);
@@ -37,14 +37,14 @@
 TEST(FinalAnswer, ALateResultOfAClosedRequestOnlyFreesItsThreads) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7)});
-  driver.request(1, kQuick);
-  ASSERT_EQ(driver.decision_engine.class_view(kQuick).running_threads, 1U);
+  driver.request(1, kIdempotent);
+  ASSERT_EQ(driver.decision_engine.class_view(kIdempotent).running_threads, 1U);
   driver.handle(driver.now, {ClientDisconnected{1}});
-  EXPECT_EQ(driver.decision_engine.class_view(kQuick).running_threads, 1U)
+  EXPECT_EQ(driver.decision_engine.class_view(kIdempotent).running_threads, 1U)
       << "the engine may still work on it";
   driver.finish(1, 0, 7, AttemptResult::error);
   driver.finish(1, 0, 7, AttemptResult::error);
-  EXPECT_EQ(driver.decision_engine.class_view(kQuick).running_threads, 0U);
+  EXPECT_EQ(driver.decision_engine.class_view(kIdempotent).running_threads, 0U);
   EXPECT_EQ(driver.final_answers(1), 0);
   EXPECT_EQ(driver.attempts_of(1), 1);
 }
@@ -54,15 +54,15 @@
 // A request that is not idempotent ends with each of the results. Where the result proves that it never ran
 // it is retried; else it fails, as a retry could double its effect.
 TEST_P(AfterResult, ARequestThatIsNotIdempotentIsRetriedOnlyIfItNeverRan) {
-  const auto [result, again] = GetParam();
+  const auto [result, is_retried] = GetParam();
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8)});
-  driver.request(1, kOnce);
+  driver.request(1, kNotIdempotent);
   ASSERT_EQ(driver.attempts_of(1), 1);
   driver.finish(1, 0, driver.started[0].engine, result);
   driver.run_until(driver.now + 300ms);
-  EXPECT_EQ(driver.attempts_of(1), again ? 2 : 1);
-  EXPECT_EQ(driver.failed[1], again ? 0 : 1);
+  EXPECT_EQ(driver.attempts_of(1), is_retried ? 2 : 1);
+  EXPECT_EQ(driver.failed[1], is_retried ? 0 : 1);
   EXPECT_EQ(driver.rejected[1], 0);
 }
 
@@ -78,7 +78,7 @@
 TEST(Idempotency, ARequestWithAKeyThatMayHaveRunStaysInItsScope) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7, 0)});
-  driver.request(1, kKeyed);
+  driver.request(1, kWithKey);
   driver.update_endpoints({endpoint(7, 0), endpoint(8, 1)});
   driver.finish(1, 0, 7, AttemptResult::error);
   driver.run_until(driver.now + 300ms);
@@ -89,14 +89,14 @@
 // An attempt with an idempotency key fails just before, or at, the end of the deduplication window. After it
 // a retry would run a second time, so the request fails.
 TEST(Idempotency, ARequestWithAKeyIsNotRetriedAfterItsDeduplicationWindow) {
-  for (const bool late : {false, true}) {
+  for (const bool after_window : {false, true}) {
     DecisionDriver driver(basic_settings());
     driver.update_endpoints({endpoint(7, 0)});
-    driver.request(1, kKeyed);
-    driver.run_until(driver.now + (late ? 2000ms : 1900ms));
+    driver.request(1, kWithKey);
+    driver.run_until(driver.now + (after_window ? 2000ms : 1900ms));
     driver.finish(1, 0, 7, AttemptResult::error);
-    EXPECT_EQ(driver.attempts_of(1), late ? 1 : 2);
-    EXPECT_EQ(driver.failed[1], late ? 1 : 0) << "a rejection would promise too much";
+    EXPECT_EQ(driver.attempts_of(1), after_window ? 1 : 2);
+    EXPECT_EQ(driver.failed[1], after_window ? 1 : 0) << "a rejection would promise too much";
   }
 }
 
@@ -105,24 +105,24 @@
 TEST(Idempotency, ARetryWithAKeySaysByWhenItMustStart) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7, 0)});
-  const auto began = driver.now;
-  driver.request(1, kKeyed);
+  const auto started_at = driver.now;
+  driver.request(1, kWithKey);
   EXPECT_EQ(driver.started.back().start_before, Time::max()) << "nothing has run";
   driver.run_until(driver.now + 300ms);
   driver.finish(1, 0, 7, AttemptResult::error);
   ASSERT_EQ(driver.attempts_of(1), 2);
-  EXPECT_LT(driver.started.back().start_before, began + 2s);
-  EXPECT_GT(driver.started.back().start_before, began + 1900ms);
+  EXPECT_LT(driver.started.back().start_before, started_at + 2s);
+  EXPECT_GT(driver.started.back().start_before, started_at + 1900ms);
 }
 
 // An attempt without progress is cancelled, and the engine does not confirm. Until it does the attempt may
 // still run, so no second one starts where hedging is off.
 TEST(Attempts, ACancelledAttemptIsWaitedForBeforeTheNextStarts) {
-  Settings s = basic_settings();
-  s.progress_interval = 500ms;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.progress_interval = 500ms;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8)});
-  driver.request(1, kQuick);
+  driver.request(1, kIdempotent);
   ASSERT_EQ(driver.attempts_of(1), 1);
   driver.run_until(driver.now + 3s);  // silent: cancelled, but not confirmed yet
   ASSERT_FALSE(driver.cancelled.empty());
@@ -135,7 +135,7 @@
 TEST(Attempts, ARequestGetsNoMoreAttemptsThanTheSettingsAllow) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9), endpoint(10)});
-  driver.request(1, kQuick);
+  driver.request(1, kIdempotent);
   for (AttemptIndex n = 0; n < 3; ++n) {
     ASSERT_EQ(driver.attempts_of(1), n + 1);
     driver.finish(1, n, driver.started.back().engine, AttemptResult::error);
@@ -151,10 +151,10 @@
       {with_state(endpoint(7), EndpointState::draining), with_state(endpoint(8), EndpointState::removed)},
       UpdateKind::delta);
   driver.update_endpoints({}, UpdateKind::failed);
-  for (RequestId id = 1; id <= 4; ++id) driver.request(id, kQuick);
+  for (RequestId id = 1; id <= 4; ++id) driver.request(id, kIdempotent);
   EXPECT_EQ(driver.attempts_at(7) + driver.attempts_at(8), 0);
   driver.update_endpoints({endpoint(9)});
-  for (RequestId id = 5; id <= 7; ++id) driver.request(id, kQuick);
+  for (RequestId id = 5; id <= 7; ++id) driver.request(id, kIdempotent);
   EXPECT_EQ(driver.attempts_at(10), 2);
   EXPECT_EQ(driver.attempts_at(9), 5);
 }
@@ -163,7 +163,7 @@
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7)}, UpdateKind::cached);
   driver.update_endpoints({with_state(endpoint(7), EndpointState::removed)}, UpdateKind::delta);
-  driver.request(1, kQuick);
+  driver.request(1, kIdempotent);
   EXPECT_EQ(driver.attempts_of(1), 0);
   driver.update_endpoints({endpoint(7)}, UpdateKind::delta);
   EXPECT_EQ(driver.attempts_of(1), 1);
@@ -172,37 +172,37 @@
 // Two requests of one key arrive. The first times out and may still run at its engine; the second waits for
 // it, and then for the quiet period, so that it cannot overtake it.
 TEST(KeyOrder, RequestsOfAKeyRunOneByOneWithAQuietPeriodAfterATimeOut) {
-  Settings s = basic_settings();
-  s.classes[kQuick].ordered_by_key = true;
-  s.ordering_quiet_period = 300ms;
-  s.max_attempts = 1;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.classes[kIdempotent].ordered_by_key = true;
+  settings.ordering_quiet_period = 300ms;
+  settings.max_attempts = 1;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8)});
-  driver.request(1, kQuick, 5s, 42);
-  driver.request(2, kQuick, 5s, 42);
-  driver.request(3, kQuick, 5s, 43);
-  driver.request(4, kQuick, 5s, 0);
+  driver.request(1, kIdempotent, 5s, 42);
+  driver.request(2, kIdempotent, 5s, 42);
+  driver.request(3, kIdempotent, 5s, 43);
+  driver.request(4, kIdempotent, 5s, 0);
   EXPECT_EQ(driver.attempts_of(1), 1);
   EXPECT_EQ(driver.attempts_of(2), 0);
   EXPECT_EQ(driver.attempts_of(3), 1);
   EXPECT_EQ(driver.attempts_of(4), 1);
-  const Time over = driver.now;
+  const Time timed_out_at = driver.now;
   driver.finish(1, 0, driver.started[0].engine, AttemptResult::timed_out);
-  driver.run_until(over + 280ms);
+  driver.run_until(timed_out_at + 280ms);
   EXPECT_EQ(driver.attempts_of(2), 0);
-  driver.run_until(over + 320ms);
+  driver.run_until(timed_out_at + 320ms);
   EXPECT_EQ(driver.attempts_of(2), 1);
 }
 
 // The client of the first of a key disconnects while its query runs. The next of the key waits until the
 // engine is done with it.
 TEST(KeyOrder, AClosedRequestHoldsItsKeyWhileItsAttemptIsInFlight) {
-  Settings s = basic_settings();
-  s.classes[kQuick].ordered_by_key = true;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.classes[kIdempotent].ordered_by_key = true;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7)});
-  driver.request(1, kQuick, 5s, 42);
-  driver.request(2, kQuick, 5s, 42);
+  driver.request(1, kIdempotent, 5s, 42);
+  driver.request(2, kIdempotent, 5s, 42);
   driver.handle(driver.now, {ClientDisconnected{1}});
   EXPECT_EQ(driver.attempts_of(2), 0);
   driver.finish(1, 0, 7, AttemptResult::error);
@@ -210,18 +210,18 @@
 }
 
 TEST(Placement, HoldsAtEveryAttemptAndWhenAllAllowedEnginesAreGone) {
-  Settings s = basic_settings();
-  s.classes[kQuick].allowed_zones = {{1}};
-  s.classes[kQuick].allowed_machine_types = {{1}};
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.classes[kIdempotent].allowed_zones = {{1}};
+  settings.classes[kIdempotent].allowed_machine_types = {{1}};
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7, 1, 0), endpoint(8, 0, 1), endpoint(9, 1, 1), endpoint(10, 1, 1)});
-  driver.request(1, kQuick);
+  driver.request(1, kIdempotent);
   driver.finish(1, 0, driver.started.back().engine, AttemptResult::error);
   driver.finish(1, 1, driver.started.back().engine, AttemptResult::error);
   EXPECT_EQ(driver.attempts_of(1), 3);
   EXPECT_EQ(driver.attempts_at(7) + driver.attempts_at(8), 0);
   driver.update_endpoints({endpoint(7, 1, 0), endpoint(8, 0, 1)});
-  driver.request(2, kQuick);
+  driver.request(2, kIdempotent);
   driver.run_until(driver.now + 2s);
   EXPECT_EQ(driver.attempts_of(2), 0);
   EXPECT_EQ(driver.final_answers(2), 1);
@@ -230,20 +230,20 @@
 // Engines reject one request after the other. Retries stay within the budget, and are allowed again once the
 // window has passed.
 TEST(RetryBudget, CountsRetriesAgainstRequestsInTheWindow) {
-  Settings s = basic_settings();
-  s.retry_budget = RetryBudget{10s, 1, 0.2};
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.retry_budget = RetryBudget{10s, 1, 0.2};
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9), endpoint(10)});
   const auto retried = [&driver](RequestId id) {
-    driver.request(id, kQuick);
+    driver.request(id, kIdempotent);
     const auto first = driver.started.back();
     if (first.request != id) return false;
     const auto before = driver.started.size();
     driver.finish(id, 0, first.engine, AttemptResult::rejected);
     driver.run_until(driver.now + 400ms);
-    const bool again = driver.started.size() > before;
-    if (again) driver.finish(id, 1, driver.started.back().engine, AttemptResult::served);
-    return again;
+    const bool is_retried = driver.started.size() > before;
+    if (is_retried) driver.finish(id, 1, driver.started.back().engine, AttemptResult::served);
+    return is_retried;
   };
   EXPECT_TRUE(retried(1));   // 1 <= 1 + 0.2
   EXPECT_FALSE(retried(2));  // 2 >  1 + 0.4
--- a/tests/decision/health_checker_test.cpp
+++ b/tests/decision/health_checker_test.cpp
@@ -7,20 +7,20 @@
 
 TEST(LargeFleet, ARequestCostsNoMoreHealthChecksOrGossipInALargerFleet) {
   for (const unsigned size : {20U, 200U}) {
-    Settings s = basic_settings();
-    s.router_count = 4 * size;
-    s.health_checks_enabled = s.gossip_enabled = true;
-    s.load_fields = {LoadField::in_flight};
-    DecisionDriver driver(s);
+    Settings settings = basic_settings();
+    settings.router_count = 4 * size;
+    settings.health_checks_enabled = settings.gossip_enabled = true;
+    settings.load_fields = {LoadField::in_flight};
+    DecisionDriver driver(settings);
     std::vector<Endpoint> engines;
     for (EngineId id = 1; id <= size; ++id) engines.push_back(endpoint(id));
     driver.update_endpoints(engines);
     std::size_t checks = 0, bytes = 0;
     for (RequestId id = 1; id <= 50; ++id) {
-      RequestArrived a;
-      a.request = id;
-      a.time_left = 5s;
-      std::vector<Action> actions = driver.handle(driver.now, {a});
+      RequestArrived arrival;
+      arrival.request = id;
+      arrival.time_left = 5s;
+      std::vector<Action> actions = driver.handle(driver.now, {arrival});
       for (int tick = 0; tick < 10; ++tick) {
         const auto more = driver.handle(driver.next_timer, {TimerFired{}});
         actions.insert(actions.end(), more.begin(), more.end());
--- a/tests/decision/hedging_test.cpp
+++ b/tests/decision/hedging_test.cpp
@@ -6,9 +6,9 @@
 namespace {
 
 Settings hedging_settings() {
-  Settings s = basic_settings();
-  s.hedging_enabled = true;
-  return s;
+  Settings settings = basic_settings();
+  settings.hedging_enabled = true;
+  return settings;
 }
 
 // Enough requests were answered to earn hedges; nothing is in flight.
@@ -23,9 +23,9 @@
 // times a hedge starts on the other engine, where hedging is enabled.
 TEST(Hedging, AnAttemptFarOverdueIsHedgedElsewhereOnlyWhereEnabled) {
   for (const bool allowed : {true, false}) {
-    Settings s = hedging_settings();
-    s.hedging_enabled = allowed;
-    DecisionDriver driver(s);
+    Settings settings = hedging_settings();
+    settings.hedging_enabled = allowed;
+    DecisionDriver driver(settings);
     driver.update_endpoints({endpoint(7), endpoint(8)});
     warm_up(driver);
     driver.request(50, 0);
@@ -60,9 +60,9 @@
 TEST(Hedging, AHedgeThatFailsNeitherEndsNorQueuesTheRequestWhileTheOtherRuns) {
   for (const auto result :
        {AttemptResult::error, AttemptResult::reset, AttemptResult::rejected, AttemptResult::cancelled}) {
-    Settings s = hedging_settings();
-    s.max_attempts = 2;
-    DecisionDriver driver(s);
+    Settings settings = hedging_settings();
+    settings.max_attempts = 2;
+    DecisionDriver driver(settings);
     driver.update_endpoints({endpoint(7), endpoint(8)});
     warm_up(driver);
     driver.request(50, 0);
@@ -78,10 +78,10 @@
 }
 
 TEST(Hedging, HedgesCountAsAttemptsAndInTheRetryBudget) {
-  Settings s = hedging_settings();
-  s.max_attempts = 2;
-  s.retry_budget = RetryBudget{60s, 1, 0};
-  DecisionDriver driver(s);
+  Settings settings = hedging_settings();
+  settings.max_attempts = 2;
+  settings.retry_budget = RetryBudget{60s, 1, 0};
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9)});
   warm_up(driver);
   driver.request(50, 0);
@@ -126,9 +126,9 @@
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9), endpoint(10)});
   for (RequestId id = 1; id <= 8; ++id) driver.request(id, 0);
   driver.run_until(driver.now + 4s);
-  std::size_t further = 0;
-  for (RequestId id = 1; id <= 8; ++id) further += static_cast<std::size_t>(driver.attempts_of(id) - 1);
-  EXPECT_EQ(further, 1U) << "a fifth of eight queries' work";
+  std::size_t hedges = 0;
+  for (RequestId id = 1; id <= 8; ++id) hedges += static_cast<std::size_t>(driver.attempts_of(id) - 1);
+  EXPECT_EQ(hedges, 1U) << "a fifth of eight queries' work";
 }
 
 // Lost answers counted as running queries until their deadlines; the level that all routers go by rose, and
@@ -136,20 +136,20 @@
 // progress runs and is not.
 TEST(Hedging, WhileCongestedALostAttemptIsGivenUpThoughNoneIsHedged) {
   for (const bool has_progress : {false, true}) {  // one that sent progress runs
-    Settings s = hedging_settings();
-    s.progress_interval = 10s;
-    s.load_fields = {LoadField::in_flight};
-    DecisionDriver driver(s);
+    Settings settings = hedging_settings();
+    settings.progress_interval = 10s;
+    settings.load_fields = {LoadField::in_flight};
+    DecisionDriver driver(settings);
     driver.update_endpoints({endpoint(7), endpoint(8)});
     for (RequestId id = 1; id <= 40; ++id) {
       driver.request(id, 0);
-      AttemptFinished o;
-      o.request = id;
-      o.engine = driver.started.back().engine;
-      o.latency = 100ms;
-      o.request_finished = true;
-      o.load = {7};
-      driver.handle(driver.now, {o});
+      AttemptFinished outcome;
+      outcome.request = id;
+      outcome.engine = driver.started.back().engine;
+      outcome.latency = 100ms;
+      outcome.request_finished = true;
+      outcome.load = {7};
+      driver.handle(driver.now, {outcome});
     }
     driver.request(50, 0);
     ASSERT_EQ(driver.attempts_of(50), 1);
--- a/tests/decision/latency_controller_test.cpp
+++ b/tests/decision/latency_controller_test.cpp
@@ -9,20 +9,20 @@
 namespace {
 
 Settings loop_settings() {
-  Settings s = basic_settings();
-  s.machine_types = {{"one", 10, 0}};  // pool of one engine and one router: 20 threads
-  s.classes.resize(1);
-  s.classes[0].latency_objective = 100s;         // delay objective 30 s
-  s.classes[0].latency_objective_per_work = 10;  // nothing is rejected while the loop is watched
-  s.classes[0].timeout = 1000s;
-  s.max_attempts = 1;
-  return s;
+  Settings settings = basic_settings();
+  settings.machine_types = {{"one", 10, 0}};  // pool of one engine and one router: 20 threads
+  settings.classes.resize(1);
+  settings.classes[0].latency_objective = 100s;         // delay objective 30 s
+  settings.classes[0].latency_objective_per_work = 10;  // nothing is rejected while the loop is watched
+  settings.classes[0].timeout = 1000s;
+  settings.max_attempts = 1;
+  return settings;
 }
 
 TEST(LatencyController, AClassThatDoesNotWaitFallsToOneQuerysThreads) {
-  Settings s = loop_settings();
-  s.classes[0].threads = 2;
-  DecisionDriver driver(s);
+  Settings settings = loop_settings();
+  settings.classes[0].threads = 2;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7)});
   driver.run_until(driver.now + 10s);
   EXPECT_DOUBLE_EQ(driver.decision_engine.class_view(0).budget_threads, 2);
@@ -42,9 +42,9 @@
 }
 
 TEST(LatencyController, FollowsTheFormula) {
-  Settings s = loop_settings();
-  s.machine_types[0].cores = 10;
-  DecisionDriver driver(s);
+  Settings settings = loop_settings();
+  settings.machine_types[0].cores = 10;
+  DecisionDriver driver(settings);
   // One engine whose every slot is taken by this class, with more requests queued behind: E falls below 0.
   driver.update_endpoints({endpoint(7)});
   for (RequestId id = 1; id <= 21; ++id) driver.request(id, 0, 900s);
@@ -52,15 +52,15 @@
   // Period m ends at 2 s x m; one request is queued since 0 s, so its wait is 2m seconds.
   // Period 1 also counts the 20 that went at once: mean wait 2 / 21.
   const double pool = 20, gain = -0.8 * pool / 10;
-  double u = 1, before = 0;
+  double u = 1, previous_error = 0;
   for (int m = 1; m <= 25; ++m) {
     driver.handle(driver.now, {AttemptProgress{1, 0, 7, ProgressKind::spill,
                                                1}});  // a word, so that the engine is not taken for silent
     driver.run_until(100s + std::chrono::milliseconds(2000 * m + 19));
     const double wait = m == 1 ? 2.0 / 21 : 2.0 * m;
     const double error = (30 - wait) / 30;
-    u = std::clamp(u + gain * (error - 0.3 * before), 1.0, pool);
-    before = error;
+    u = std::clamp(u + gain * (error - 0.3 * previous_error), 1.0, pool);
+    previous_error = error;
     EXPECT_NEAR(driver.decision_engine.class_view(0).budget_threads, u, 1e-6) << "period " << m;
   }
   EXPECT_GT(u, 1.0) << "the sequence must leave the lower bound";
@@ -69,15 +69,15 @@
 // Two classes, both waiting: the first takes what it asks for, the second what is left. Once the sum passed
 // the pool, each starts from what it got, not from what it asked for.
 TEST(LatencyController, BudgetsFillByRankAndSaturationStartsFromWhatAClassGot) {
-  Settings s = loop_settings();
-  s.classes.push_back(s.classes[0]);
-  s.classes[1].latency_objective = 101s;  // ranks second; delay objective 30.3 s
-  DecisionDriver driver(s);
+  Settings settings = loop_settings();
+  settings.classes.push_back(settings.classes[0]);
+  settings.classes[1].latency_objective = 101s;  // ranks second; delay objective 30.3 s
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7)});
   for (RequestId id = 1; id <= 21; ++id) driver.request(id, 0, 900s);
   driver.request(22, 1, 900s);
   const double pool = 20, gain = -1.6, objectives[] = {30, 30.3};
-  double u[] = {1, 1}, got[] = {1, 1}, before[] = {0, 0};
+  double u[] = {1, 1}, allocated[] = {1, 1}, previous_error[] = {0, 0};
   bool saturated_once = false;
   for (int m = 1; m <= 36; ++m) {
     driver.handle(driver.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
@@ -87,13 +87,14 @@
     for (int c = 0; c < 2; ++c) {
       const double wait = m == 1 && c == 0 ? 2.0 / 21 : 2.0 * m;
       const double error = (objectives[c] - wait) / objectives[c];
-      u[c] = std::clamp((saturated ? got[c] : u[c]) + gain * (error - 0.3 * before[c]), 1.0, pool);
-      before[c] = error;
+      u[c] =
+          std::clamp((saturated ? allocated[c] : u[c]) + gain * (error - 0.3 * previous_error[c]), 1.0, pool);
+      previous_error[c] = error;
     }
-    got[0] = std::min(u[0], pool);
-    got[1] = std::max(1.0, std::min(u[1], pool - got[0]));
+    allocated[0] = std::min(u[0], pool);
+    allocated[1] = std::max(1.0, std::min(u[1], pool - allocated[0]));
     for (ClassIndex c = 0; c < 2; ++c)
-      EXPECT_NEAR(driver.decision_engine.class_view(c).budget_threads, got[c], 1e-6)
+      EXPECT_NEAR(driver.decision_engine.class_view(c).budget_threads, allocated[c], 1e-6)
           << "period " << m << " class " << c;
   }
   EXPECT_TRUE(saturated_once);
--- a/tests/decision/outlier_detector_test.cpp
+++ b/tests/decision/outlier_detector_test.cpp
@@ -10,21 +10,21 @@
 TEST(Failures, AnEngineThatFailsEveryQueryAtOnceIsEjectedThoughItLooksIdle) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9)});
-  int to_bad = 0;
+  int attempts_at_faulty = 0;
   for (RequestId id = 1; id <= 60; ++id) {
     const auto from = driver.started.size();
     driver.request(id, 0, 5s, 0, id);  // of many data groups
     for (auto i = from; i < driver.started.size(); ++i) {
       const auto sent = driver.started[i];
-      to_bad += sent.engine == 8 ? 1 : 0;
-      const auto n = static_cast<AttemptIndex>(driver.attempts_of(sent.request) - 1);
-      driver.finish(sent.request, n, sent.engine,
+      attempts_at_faulty += sent.engine == 8 ? 1 : 0;
+      const auto attempt = static_cast<AttemptIndex>(driver.attempts_of(sent.request) - 1);
+      driver.finish(sent.request, attempt, sent.engine,
                     sent.engine == 8 ? AttemptResult::error : AttemptResult::served);
     }
     driver.run_until(driver.now + 20ms);
   }
-  EXPECT_LE(to_bad, 4) << "two errors in a row, then one query on probation at a time";
-  EXPECT_GE(to_bad, 2);
+  EXPECT_LE(attempts_at_faulty, 4) << "two errors in a row, then one query on probation at a time";
+  EXPECT_GE(attempts_at_faulty, 2);
 }
 
 // A client sends queries that no engine can run. Each engine that failed one was blamed, and soon all were
@@ -33,15 +33,16 @@
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9)});
   for (RequestId id = 1; id <= 40; ++id) {
-    const bool unusable = id % 2 == 0;
+    const bool always_fails = id % 2 == 0;
     const auto from = driver.started.size();
     driver.request(id, 0, 5s, 0, id);
     for (auto i = from; i < driver.started.size(); ++i) {
       const auto sent = driver.started[i];
-      const auto n = static_cast<AttemptIndex>(driver.attempts_of(sent.request) - 1);
-      driver.finish(sent.request, n, sent.engine, unusable ? AttemptResult::error : AttemptResult::served);
+      const auto attempt = static_cast<AttemptIndex>(driver.attempts_of(sent.request) - 1);
+      driver.finish(sent.request, attempt, sent.engine,
+                    always_fails ? AttemptResult::error : AttemptResult::served);
     }
-    EXPECT_EQ(driver.final_answers(id), unusable ? 1 : 0);
+    EXPECT_EQ(driver.final_answers(id), always_fails ? 1 : 0);
     driver.run_until(driver.now + 20ms);
     ASSERT_DOUBLE_EQ(driver.decision_engine.pool_threads(), 24)
         << "all three engines count, after request " << id;
@@ -51,12 +52,12 @@
 // An engine rejects every query while its reports say that it is idle, so each report drew new work to it.
 // It is ejected after two in a row.
 TEST(Rejections, AnEngineThatRejectsThoughItsReportsSayIdleIsEjected) {
-  Settings s = basic_settings();
-  s.health_checks_enabled = true;
-  s.load_fields = {LoadField::in_flight};
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.health_checks_enabled = true;
+  settings.load_fields = {LoadField::in_flight};
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9)});
-  int to_bad = 0;
+  int attempts_at_faulty = 0;
   for (RequestId id = 1; id <= 60; ++id) {
     for (const EngineId e : {7U, 8U, 9U}) {
       HealthCheckResult check;
@@ -68,15 +69,15 @@
     driver.request(id, 0, 5s, 0, id);
     for (auto i = from; i < driver.started.size(); ++i) {
       const auto sent = driver.started[i];
-      to_bad += sent.engine == 8 ? 1 : 0;
-      const auto n = static_cast<AttemptIndex>(driver.attempts_of(sent.request) - 1);
-      driver.finish(sent.request, n, sent.engine,
+      attempts_at_faulty += sent.engine == 8 ? 1 : 0;
+      const auto attempt = static_cast<AttemptIndex>(driver.attempts_of(sent.request) - 1);
+      driver.finish(sent.request, attempt, sent.engine,
                     sent.engine == 8 ? AttemptResult::rejected : AttemptResult::served);
     }
     driver.run_until(driver.now + 20ms);
   }
-  EXPECT_GE(to_bad, 2);
-  EXPECT_LE(to_bad, 6) << "two in a row, then one query on probation at a time";
+  EXPECT_GE(attempts_at_faulty, 2);
+  EXPECT_LE(attempts_at_faulty, 6) << "two in a row, then one query on probation at a time";
 }
 
 // An engine fails all its queries for a while and then works again. After its probation it gets its part of
@@ -84,31 +85,31 @@
 TEST(Failures, AnEngineThatRecoversGetsWorkAgain) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8)});
-  const auto play = [&driver](RequestId from, RequestId to, bool bad) {
+  const auto send_requests = [&driver](RequestId from, RequestId to, bool is_faulty) {
     for (RequestId id = from; id <= to; ++id) {
       const auto at = driver.started.size();
       driver.request(id, 0, 5s, 0, id);  // of many data groups
       for (auto i = at; i < driver.started.size(); ++i) {
         const auto sent = driver.started[i];
-        const auto n = static_cast<AttemptIndex>(driver.attempts_of(sent.request) - 1);
-        driver.finish(sent.request, n, sent.engine,
-                      bad && sent.engine == 8 ? AttemptResult::error : AttemptResult::served);
+        const auto attempt = static_cast<AttemptIndex>(driver.attempts_of(sent.request) - 1);
+        driver.finish(sent.request, attempt, sent.engine,
+                      is_faulty && sent.engine == 8 ? AttemptResult::error : AttemptResult::served);
       }
       driver.run_until(driver.now + 50ms);
     }
   };
-  play(1, 20, true);
-  const int before = driver.attempts_at(8);
-  play(21, 120, false);
-  EXPECT_GT(driver.attempts_at(8) - before, 20);
+  send_requests(1, 20, true);
+  const int attempts_before = driver.attempts_at(8);
+  send_requests(21, 120, false);
+  EXPECT_GT(driver.attempts_at(8) - attempts_before, 20);
 }
 
 // An engine stops without closing its connections. It promised progress and gives none, so its query is
 // cancelled and retried on another engine.
 TEST(Silence, QueriesOnASilentEngineAreCancelledAndRetriedElsewhere) {
-  Settings s = basic_settings();
-  s.progress_interval = 500ms;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.progress_interval = 500ms;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7)});
   driver.request(1, 0);
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9)});
@@ -121,26 +122,26 @@
 
 // An engine stops, and cancellation is not allowed. Its queries must stay there, but no new ones go to it.
 TEST(Silence, ASilentEngineGetsNothingMoreWhereCancellationIsOff) {
-  Settings s = basic_settings();
-  s.cancellation_enabled = false;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.cancellation_enabled = false;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7)});
   for (RequestId id = 1; id <= 4; ++id) driver.request(id, 0);
   ASSERT_EQ(driver.attempts_at(7), 4);
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9)});
   driver.run_until(driver.now + 1s);
-  const int before = driver.attempts_at(7);
+  const int attempts_before = driver.attempts_at(7);
   for (RequestId id = 10; id <= 14; ++id) driver.request(id, 0);
-  EXPECT_EQ(driver.attempts_at(7), before);
+  EXPECT_EQ(driver.attempts_at(7), attempts_before);
   EXPECT_TRUE(driver.cancelled.empty());
 }
 
 // One long query, far past the usual answer time, was taken for silence, and healthy engines were ejected. A
 // single query never is enough.
 TEST(Silence, OneLongQueryIsNoSilence) {
-  Settings s = basic_settings();
-  s.classes[0].timeout = 60s;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.classes[0].timeout = 60s;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9)});
   driver.request(1, 0, 60s);
   const auto at = driver.started[0].engine;
@@ -152,9 +153,9 @@
 // One answer in ten is lost on the way. The engine answers the others, so it is not ejected, and the
 // requests whose answers were lost get theirs before their deadlines.
 TEST(LostAnswers, AnEngineThatAnswersOthersIsNotEjectedAndTheLostEndInTime) {
-  Settings s = basic_settings();
-  s.max_attempts = 1;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.max_attempts = 1;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7)});
   const auto start = driver.now;
   for (RequestId id = 1; id <= 40; ++id) {
@@ -172,9 +173,9 @@
 // The router itself is paused for two seconds. All engines seemed silent to it and were ejected. Now that
 // time does not count, overdue requests end at once, and later silence still counts.
 TEST(Absence, ARouterThatWasPausedBlamesNoEngineAndFinishesWhatIsOverdue) {
-  Settings s = basic_settings();
-  s.progress_interval = 500ms;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.progress_interval = 500ms;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8)});
   driver.request(1, 0);
   driver.request(2, 0);
@@ -206,10 +207,10 @@
 // Queries that waited in an engine's queue sent progress all the time, yet the engine was ejected as silent.
 // It is not; only the attempt without progress is given up.
 TEST(Progress, AnEngineThatSendsProgressIsNotSilentAndAnAttemptWithoutItIsLost) {
-  Settings s = basic_settings();
-  s.progress_interval = 1s;
-  s.classes[0].timeout = 30s;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.progress_interval = 1s;
+  settings.classes[0].timeout = 30s;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7)});
   for (RequestId id = 1; id <= 4; ++id) driver.request(id, 0, 30s);
   driver.update_endpoints({endpoint(7), endpoint(8)});
@@ -229,22 +230,22 @@
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7)});
   std::vector<std::string> lines;
-  const auto finish = [&](RequestId id, AttemptIndex n, AttemptResult result) {
+  const auto finish = [&](RequestId id, AttemptIndex attempt, AttemptResult result) {
     AttemptFinished outcome;
     outcome.request = id;
-    outcome.attempt = n;
+    outcome.attempt = attempt;
     outcome.engine = 7;
     outcome.result = result;
     outcome.request_finished = result == AttemptResult::served;
     for (const auto& action : driver.handle(driver.now, {outcome}))
       if (const auto* line = std::get_if<LogDecision>(&action)) lines.push_back(line->text);
   };
-  driver.request(1, kQuick);
+  driver.request(1, kIdempotent);
   finish(1, 0, AttemptResult::error);
   finish(1, 1, AttemptResult::error);
   EXPECT_EQ(lines, std::vector<std::string>{"engine 7 ejected: fails its queries"});
   driver.run_until(driver.now + 2s);
-  driver.request(2, kQuick);
+  driver.request(2, kIdempotent);
   ASSERT_EQ(driver.attempts_of(2), 1);
   finish(2, 0, AttemptResult::served);
   EXPECT_EQ(lines.back(), "engine 7 recovered");
--- a/tests/decision/resource_grants_test.cpp
+++ b/tests/decision/resource_grants_test.cpp
@@ -8,38 +8,38 @@
 // With the engines' own choice of memory, large queries spilled to disk and took several times their work.
 // Grants follow the needs that answers report, with a margin.
 TEST(MemoryGrants, FollowTheNeedsThatAnswersReport) {
-  Settings s = basic_settings();
-  s.memory_grants_enabled = true;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.memory_grants_enabled = true;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7)});
   const auto granted = [&driver](RequestId id) {
-    RequestArrived a;
-    a.request = id;
-    a.time_left = 5s;
-    for (const auto& action : driver.handle(driver.now, {a}))
+    RequestArrived arrival;
+    arrival.request = id;
+    arrival.time_left = 5s;
+    for (const auto& action : driver.handle(driver.now, {arrival}))
       if (const auto* resources = std::get_if<SetResources>(&action)) return resources->memory_mb;
     return -1.0;
   };
   EXPECT_EQ(granted(1), 0) << "nothing reported yet: the engine chooses";
-  AttemptFinished o;
-  o.request = 1;
-  o.engine = 7;
-  o.request_finished = true;
-  o.work = 100ms;
-  o.memory_mb = 100;
-  driver.handle(driver.now, {o});
+  AttemptFinished outcome;
+  outcome.request = 1;
+  outcome.engine = 7;
+  outcome.request_finished = true;
+  outcome.work = 100ms;
+  outcome.memory_mb = 100;
+  driver.handle(driver.now, {outcome});
   EXPECT_GT(granted(2), 200);
 }
 
 TEST(EnginePriority, OfLaterClassesSmallerQueriesGetPriority) {
-  Settings s = basic_settings();
-  s.engine_priorities_enabled = true;
-  s.classes[1].idempotency = Idempotency::idempotent;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.engine_priorities_enabled = true;
+  settings.classes[1].idempotency = Idempotency::idempotent;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8)});
   std::vector<int> priorities;
-  const auto send = [&](RequestId id, Time cost) {
-    auto arrival = estimated_request(id, cost);
+  const auto send = [&](RequestId id, Time work) {
+    auto arrival = estimated_request(id, work);
     arrival.class_index = 1;
     for (const auto& action : driver.handle(driver.now, {arrival}))
       if (const auto* resources = std::get_if<SetResources>(&action))
@@ -55,9 +55,9 @@
 }
 
 TEST(MemoryGrants, EstimatesAreCorrectedByWhatAnswersReport) {
-  Settings s = basic_settings();
-  s.memory_grants_enabled = true;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.memory_grants_enabled = true;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8)});
   double granted = 0;
   for (RequestId id = 1; id <= 100; ++id) {
@@ -66,14 +66,14 @@
     if (id == 1) {
       EXPECT_NEAR(granted, 100, 1) << "nothing reported yet: twice the estimate";
     }
-    AttemptFinished o;
-    o.request = id;
-    o.engine = driver.engine_of(id, 0);
-    o.latency = 100ms;
-    o.request_finished = true;
-    o.work = 100ms;
-    o.memory_mb = 150;
-    driver.handle(driver.now, {o});
+    AttemptFinished outcome;
+    outcome.request = id;
+    outcome.engine = driver.engine_of(id, 0);
+    outcome.latency = 100ms;
+    outcome.request_finished = true;
+    outcome.work = 100ms;
+    outcome.memory_mb = 150;
+    driver.handle(driver.now, {outcome});
   }
   EXPECT_NEAR(granted, 300, 3) << "needs are three times what the class's estimates say";
 }
@@ -81,19 +81,19 @@
 // The need of queries without an estimate was divided by an estimate of nothing: a grant without end. The
 // first estimate is used as it is.
 TEST(MemoryGrants, AnEstimateAfterAnswersToQueriesWithoutOneIsUsedAsItIs) {
-  Settings s = basic_settings();
-  s.memory_grants_enabled = true;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.memory_grants_enabled = true;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8)});
   driver.request(1, 0);
-  AttemptFinished o;
-  o.request = 1;
-  o.engine = driver.started.back().engine;
-  o.latency = 100ms;
-  o.request_finished = true;
-  o.work = 100ms;
-  o.memory_mb = 150;
-  driver.handle(driver.now, {o});
+  AttemptFinished outcome;
+  outcome.request = 1;
+  outcome.engine = driver.started.back().engine;
+  outcome.latency = 100ms;
+  outcome.request_finished = true;
+  outcome.work = 100ms;
+  outcome.memory_mb = 150;
+  driver.handle(driver.now, {outcome});
   double granted = 0;
   for (const auto& action : driver.handle(driver.now, {estimated_request(2, 100ms, 50)}))
     if (const auto* resources = std::get_if<SetResources>(&action)) granted = resources->memory_mb;
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -8,9 +8,9 @@
 // A query has a bad plan and its progress predicts fifty times the usual time. It is restarted elsewhere
 // once; if the second attempt is as slow, the query itself is long and is left alone.
 TEST(BadPlan, AnAttemptThatWouldTakeFarTooLongIsRestartedOnce) {
-  Settings s = basic_settings();
-  s.progress_interval = 500ms;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.progress_interval = 500ms;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8)});
   driver.request(1, 0);
   driver.run_until(driver.now + 1s);
@@ -28,9 +28,9 @@
 // The progress of a query that is not idempotent predicts a very long time. A restart could double its
 // effect, so it is left alone.
 TEST(BadPlan, AnAttemptThatIsNotIdempotentIsLeftAlone) {
-  Settings s = basic_settings();
-  s.progress_interval = 500ms;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.progress_interval = 500ms;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8)});
   driver.request(1, 1);
   driver.run_until(driver.now + 1s);
--- a/tests/decision/settings_check_test.cpp
+++ b/tests/decision/settings_check_test.cpp
@@ -6,27 +6,27 @@
 namespace {
 
 TEST(SettingsCheck, SenselessSettingsAreNamed) {
-  Settings s = basic_settings();
-  s.router_count = 0;
+  Settings settings = basic_settings();
+  settings.router_count = 0;
   try {
-    DecisionEngine g(s, 1);
+    DecisionEngine decision_engine(settings, 1);
     FAIL();
   } catch (const std::invalid_argument& error) {
     EXPECT_NE(std::string(error.what()).find("gateways"), std::string::npos);
   }
-  s = basic_settings();
-  s.classes[0].latency_objective = 0s;
-  EXPECT_THROW(DecisionEngine(s, 1), std::invalid_argument);
-  s = basic_settings();
-  s.machine_types.clear();
-  EXPECT_THROW(DecisionEngine(s, 1), std::invalid_argument);
+  settings = basic_settings();
+  settings.classes[0].latency_objective = 0s;
+  EXPECT_THROW(DecisionEngine(settings, 1), std::invalid_argument);
+  settings = basic_settings();
+  settings.machine_types.clear();
+  EXPECT_THROW(DecisionEngine(settings, 1), std::invalid_argument);
 }
 
 TEST(SettingsCheck, OptionalSettingsMayBeAbsent) {
-  Settings s;
-  s.classes = {basic_settings().classes[0]};
-  s.machine_types = {{"one", 1, 0}};
-  DecisionDriver driver(s);
+  Settings settings;
+  settings.classes = {basic_settings().classes[0]};
+  settings.machine_types = {{"one", 1, 0}};
+  DecisionDriver driver(settings);
   auto started_now = endpoint(7);
   started_now.last_started = driver.now;
   driver.update_endpoints({started_now});
--- a/tests/decision/simulator_codec_test.cpp
+++ b/tests/decision/simulator_codec_test.cpp
@@ -10,25 +10,25 @@
 
 using Frame = std::vector<std::uint8_t>;
 
-void add(Frame& f, std::uint64_t value, int bytes) {
-  for (int i = 0; i < bytes; ++i) f.push_back(static_cast<std::uint8_t>(value >> (8 * i)));
+void add(Frame& frame, std::uint64_t value, int bytes) {
+  for (int i = 0; i < bytes; ++i) frame.push_back(static_cast<std::uint8_t>(value >> (8 * i)));
 }
 
 Frame batch(std::uint32_t records, const Frame& body) {
-  Frame f;
-  add(f, 20 + body.size(), 4);
-  add(f, records, 4);
-  add(f, 5000, 8);
-  add(f, 9, 4);
-  f.insert(f.end(), body.begin(), body.end());
-  return f;
+  Frame frame;
+  add(frame, 20 + body.size(), 4);
+  add(frame, records, 4);
+  add(frame, 5000, 8);
+  add(frame, 9, 4);
+  frame.insert(frame.end(), body.begin(), body.end());
+  return frame;
 }
 
 Frame hex(const std::string& text) {
-  Frame f;
+  Frame frame;
   for (std::size_t i = 0; i + 1 < text.size(); i += 2)
-    f.push_back(static_cast<std::uint8_t>(std::stoi(text.substr(i, 2), nullptr, 16)));
-  return f;
+    frame.push_back(static_cast<std::uint8_t>(std::stoi(text.substr(i, 2), nullptr, 16)));
+  return frame;
 }
 
 const char* const kSettings =
@@ -48,10 +48,10 @@
           "00003041"
           "01");
   BatchReader reader;
-  const auto got = reader.read(batch(2, body));
-  ASSERT_EQ(got.records.size(), 1U);
-  EXPECT_EQ(got.records[0].instance, 3U);
-  const auto& arrival = std::get<RequestArrived>(std::get<Event>(got.records[0].event));
+  const auto decoded = reader.read(batch(2, body));
+  ASSERT_EQ(decoded.records.size(), 1U);
+  EXPECT_EQ(decoded.records[0].instance, 3U);
+  const auto& arrival = std::get<RequestArrived>(std::get<Event>(decoded.records[0].event));
   EXPECT_EQ(arrival.request, 0x5d3a91c4U);
   EXPECT_EQ(arrival.time_left, std::chrono::milliseconds(240));
   EXPECT_EQ(arrival.estimated_memory_mb, 384);
@@ -84,9 +84,9 @@
           "02000000"
           "29000000");
   BatchReader reader;
-  const auto got = reader.read(batch(3, body));
-  ASSERT_EQ(got.records.size(), 1U);
-  const auto& list = std::get<EndpointUpdate>(std::get<Event>(got.records[0].event));
+  const auto decoded = reader.read(batch(3, body));
+  ASSERT_EQ(decoded.records.size(), 1U);
+  const auto& list = std::get<EndpointUpdate>(std::get<Event>(decoded.records[0].event));
   EXPECT_EQ(list.kind, UpdateKind::cached);
   ASSERT_EQ(list.endpoints.size(), 2U);
   EXPECT_EQ(list.endpoints[0].engine, 0x03124a07U);
@@ -105,8 +105,8 @@
           "60100100"
           "00");
   BatchReader reader;
-  const auto got = reader.read(batch(2, body));
-  const auto& outcome = std::get<AttemptFinished>(std::get<Event>(got.records[0].event));
+  const auto decoded = reader.read(batch(2, body));
+  const auto& outcome = std::get<AttemptFinished>(std::get<Event>(decoded.records[0].event));
   EXPECT_EQ(outcome.result, AttemptResult::served);
   EXPECT_TRUE(outcome.request_finished);
   EXPECT_EQ(*outcome.work, std::chrono::milliseconds(17));
@@ -126,40 +126,40 @@
           "00");
   for (std::size_t cut = 0; cut < body.size(); ++cut) {
     BatchReader reader;
-    const Frame part(body.begin(), body.begin() + static_cast<std::ptrdiff_t>(cut));
-    EXPECT_THROW((void)reader.read(batch(2, part)), Malformed) << cut;
+    const Frame truncated(body.begin(), body.begin() + static_cast<std::ptrdiff_t>(cut));
+    EXPECT_THROW((void)reader.read(batch(2, truncated)), Malformed) << cut;
   }
 }
 
 TEST(Wire, RefusesWhatItDoesNotKnow) {
-  const auto refused = [](std::uint32_t records, const std::string& text) {
+  const auto expect_rejected = [](std::uint32_t records, const std::string& text) {
     BatchReader reader;
     EXPECT_THROW((void)reader.read(batch(records, hex(text))), Malformed) << text;
   };
-  refused(2,
-          "8203000000"
-          "07");             // event code
-  refused(1, "4600000000");  // no context
-  refused(1,
-          "7810000000"
-          "00000000");  // list number
-  refused(2,
-          "8203000000"
-          "14"
-          "01"
-          "05000000"
-          "00000000");  // a list never told
-  refused(1,
-          "7800000000"
-          "ffffffff");  // absurd count
-  refused(1,
-          "8203000000"
-          "00");  // bytes left over
-  refused(2,
-          "8203000000"
-          "0a"
-          "0000000000000000"
-          "ffffffff");  // settings past the frame
+  expect_rejected(2,
+                  "8203000000"
+                  "07");             // event code
+  expect_rejected(1, "4600000000");  // no context
+  expect_rejected(1,
+                  "7810000000"
+                  "00000000");  // list number
+  expect_rejected(2,
+                  "8203000000"
+                  "14"
+                  "01"
+                  "05000000"
+                  "00000000");  // a list never told
+  expect_rejected(1,
+                  "7800000000"
+                  "ffffffff");  // absurd count
+  expect_rejected(1,
+                  "8203000000"
+                  "00");  // bytes left over
+  expect_rejected(2,
+                  "8203000000"
+                  "0a"
+                  "0000000000000000"
+                  "ffffffff");  // settings past the frame
   BatchReader reader;
   Frame cut = batch(0, {});
   cut.pop_back();
@@ -182,13 +182,13 @@
 }
 
 TEST(SettingsText, UnknownKeysAreIgnoredAndTheRestIsRead) {
-  const auto s = parse_settings(kSettings);
-  EXPECT_EQ(s.router_count, 3U);
-  EXPECT_EQ(s.machine_types[0].cores, 12);
-  EXPECT_EQ(s.classes[0].threads, 4U);
-  EXPECT_EQ(s.classes[0].latency_objective, std::chrono::milliseconds(800));
-  ASSERT_TRUE(s.classes[0].allowed_machine_types.has_value());
-  EXPECT_FALSE(s.retry_budget.has_value());
+  const auto settings = parse_settings(kSettings);
+  EXPECT_EQ(settings.router_count, 3U);
+  EXPECT_EQ(settings.machine_types[0].cores, 12);
+  EXPECT_EQ(settings.classes[0].threads, 4U);
+  EXPECT_EQ(settings.classes[0].latency_objective, std::chrono::milliseconds(800));
+  ASSERT_TRUE(settings.classes[0].allowed_machine_types.has_value());
+  EXPECT_FALSE(settings.retry_budget.has_value());
 }
 
 TEST(SettingsText, BadOnesAreRefusedByName) {
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -8,32 +8,35 @@
 // Answers were lost all over the fleet, with a connection reset each. Every engine was taken to have
 // restarted, and got work by slow start only. One heard again at once has not restarted.
 TEST(BrokenConnection, AnEngineHeardSoonAfterAResetHasNotRestarted) {
-  for (const Time answer : {5ms, 900ms}) {  // no answer for so long: the process may have ended meanwhile
-    Settings s = basic_settings();
-    s.router_count = 40;
-    s.health_checks_enabled = true;
-    s.load_fields = {LoadField::in_flight};
-    DecisionDriver driver(s);
+  for (const Time response_delay :
+       {5ms, 900ms}) {  // no answer for so long: the process may have ended meanwhile
+    Settings settings = basic_settings();
+    settings.router_count = 40;
+    settings.health_checks_enabled = true;
+    settings.load_fields = {LoadField::in_flight};
+    DecisionDriver driver(settings);
     driver.update_endpoints({endpoint(7)});
     driver.request(1, 0);
     driver.run_until(driver.now + 60ms);
     ASSERT_EQ(driver.attempts_of(1), 1);
-    AttemptFinished o;
-    o.request = 1;
-    o.engine = 7;
-    o.result = AttemptResult::reset;
-    const auto actions = driver.handle(driver.now, {o});
-    const auto is_check = [](const Action& a) { return std::holds_alternative<StartHealthCheck>(a); };
+    AttemptFinished outcome;
+    outcome.request = 1;
+    outcome.engine = 7;
+    outcome.result = AttemptResult::reset;
+    const auto actions = driver.handle(driver.now, {outcome});
+    const auto is_check = [](const Action& action) {
+      return std::holds_alternative<StartHealthCheck>(action);
+    };
     EXPECT_TRUE(std::ranges::any_of(actions, is_check)) << "checked at once";
-    driver.run_until(driver.now + answer);
-    HealthCheckResult p;
-    p.engine = 7;
-    p.result = AttemptResult::served;
-    p.load = {1.0};
-    driver.handle(driver.now, {p});
+    driver.run_until(driver.now + response_delay);
+    HealthCheckResult check;
+    check.engine = 7;
+    check.result = AttemptResult::served;
+    check.load = {1.0};
+    driver.handle(driver.now, {check});
     for (RequestId id = 2; id < 10; ++id) driver.request(id, 0);
     driver.run_until(driver.now + 60ms);
-    EXPECT_EQ(driver.started.size() > 3, answer < 500ms);
+    EXPECT_EQ(driver.started.size() > 3, response_delay < 500ms);
   }
 }
 
@@ -41,37 +44,38 @@
 // connection each; if all tried it again at once they would overload it. They take it to be warming up.
 TEST(BrokenConnection, AnEngineThatBreaksConnectionsIsWarmingUpForAllRouters) {
   for (const auto result : {AttemptResult::not_connected, AttemptResult::reset}) {
-    int tried = 0, early = 0;
+    int routers_that_tried = 0, early_attempts = 0;
     for (unsigned i = 0; i < 40; ++i) {
-      Settings s = basic_settings();
-      s.router_count = 40;
-      s.router_index = i;
-      DecisionDriver driver(s, 1 + i);
+      Settings settings = basic_settings();
+      settings.router_count = 40;
+      settings.router_index = i;
+      DecisionDriver driver(settings, 1 + i);
       driver.update_endpoints({endpoint(7)});
       driver.request(1, 0);
       driver.finish(1, 0, 7, result);
-      const auto broke = driver.now;
+      const auto failed_at = driver.now;
       for (RequestId id = 2; id < 30; ++id) {
         driver.request(id, 0);
         driver.run_until(driver.now + 100ms);
       }
-      tried += driver.started.size() > 1 ? 1 : 0;
-      for (std::size_t n = 1; n < driver.started.size(); ++n) early += driver.now < broke + 3s ? 1 : 0;
+      routers_that_tried += driver.started.size() > 1 ? 1 : 0;
+      for (std::size_t n = 1; n < driver.started.size(); ++n)
+        early_attempts += driver.now < failed_at + 3s ? 1 : 0;
     }
-    EXPECT_LT(tried, 20) << "forty at once would overload a new process";
-    EXPECT_GT(tried, 0);
-    EXPECT_LT(early, 20);
+    EXPECT_LT(routers_that_tried, 20) << "forty at once would overload a new process";
+    EXPECT_GT(routers_that_tried, 0);
+    EXPECT_LT(early_attempts, 20);
   }
 }
 
 // What overloads a warming engine is work, and one query may be many times the usual. A large one is charged
 // its own work, and waits.
 TEST(Admission, AWarmingEngineIsChargedAQuerysOwnWork) {
-  for (const Time cost : {100ms, 2000ms}) {
-    Settings s = basic_settings();
-    s.classes.resize(1);
-    s.classes[0].timeout = 60s;
-    DecisionDriver driver(s);
+  for (const Time work : {100ms, 2000ms}) {
+    Settings settings = basic_settings();
+    settings.classes.resize(1);
+    settings.classes[0].timeout = 60s;
+    DecisionDriver driver(settings);
     driver.update_endpoints({endpoint(7)});
     for (RequestId id = 1; id <= 40; ++id) {
       driver.handle(driver.now, {estimated_request(id, 100ms)});
@@ -81,21 +85,21 @@
     warming.last_started = driver.now;
     driver.update_endpoints({warming});
     driver.run_until(driver.now + 1s);
-    auto arrival = estimated_request(50, cost);
+    auto arrival = estimated_request(50, work);
     arrival.time_left = 60s;
     driver.handle(driver.now, {arrival});
     driver.run_until(driver.now + 300ms);
-    EXPECT_EQ(driver.attempts_of(50), cost == 2s ? 0 : 1);
+    EXPECT_EQ(driver.attempts_of(50), work == 2s ? 0 : 1);
   }
 }
 
 // Small queries were charged less than the rule counts, and the class's work was learnt from what was served
 // while large ones were rejected: a warming engine got 4.5 times what it could do.
 TEST(Admission, SmallQueriesAreChargedTheirClasssUsualWork) {
-  Settings s = basic_settings();
-  s.classes.resize(1);
-  s.router_count = 20;
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  settings.classes.resize(1);
+  settings.router_count = 20;
+  DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7)});
   const auto send = [&driver](RequestId id) {  // one in five is large, and is never served; 100 ms on average
     const Time work = id % 5 == 0 ? 400ms : 25ms;
@@ -126,12 +130,12 @@
 // An engine has just started, and many routers, busy and quiet ones mixed, all want to use it. Together they
 // stay under the work that overloads it in every window, but do not leave it idle.
 TEST_P(SlowStartByMany, AllRoutersTogetherStayUnderTheOverloadAndTheEngineGetsWork) {
-  Settings s = basic_settings();
-  s.router_count = GetParam();
+  Settings settings = basic_settings();
+  settings.router_count = GetParam();
   std::vector<DecisionDriver> routers;
-  for (unsigned i = 0; i < s.router_count; ++i) {
-    s.router_index = i;
-    routers.emplace_back(s, 1000 + i);
+  for (unsigned i = 0; i < settings.router_count; ++i) {
+    settings.router_index = i;
+    routers.emplace_back(settings, 1000 + i);
     auto warming = endpoint(7);
     warming.last_started = routers.back().now - 1s;
     routers.back().update_endpoints({warming});
@@ -139,10 +143,10 @@
   std::map<Time, double> work;  // core-seconds by the first estimate: half the objective on one thread
   RequestId id = 0;
   for (int step = 0; step < 300; ++step) {
-    for (unsigned i = 0; i < s.router_count; ++i) {
+    for (unsigned i = 0; i < settings.router_count; ++i) {
       auto& driver = routers[i];
       if (step % (1 + i % 7) == 0) {
-        driver.request(++id, kQuick);
+        driver.request(++id, kIdempotent);
         const bool sent = driver.attempts_of(id) > 0;
         if (sent && driver.started.back().engine == 7) work[driver.now] += 0.5;
         if (sent) driver.finish(id, 0, driver.started.back().engine, AttemptResult::served, 500ms);
@@ -153,26 +157,26 @@
         work[driver.now] += driver.started[n].engine == 7 ? 0.5 : 0;
     }
   }
-  double all = 0;
+  double total_work = 0;
   for (const auto& [from, unused] : work) {
     double sum = 0;
     for (const auto& [at, w] : work) sum += at >= from && at < from + 2s ? w : 0;
     const double capacity = 0.4 + 0.6 * std::chrono::duration<double>(from + 1s - 100s).count() / 10;
     EXPECT_LE(sum, 2.5 * capacity * 0.85 * 4 * 2);
-    all += work[from];
+    total_work += work[from];
   }
-  EXPECT_GT(all, 2) << "it is not left idle either";
+  EXPECT_GT(total_work, 2) << "it is not left idle either";
 }
 
 INSTANTIATE_TEST_SUITE_P(FewAndMany, SlowStartByMany, ::testing::Values(3U, 60U));
 
 TEST(SlowStart, AWarmEngineIsNotLimited) {
-  Settings s = basic_settings();
-  DecisionDriver driver(s);
+  Settings settings = basic_settings();
+  DecisionDriver driver(settings);
   auto warm = endpoint(7);
   warm.last_started = driver.now - 10s;
   driver.update_endpoints({warm});
-  for (RequestId id = 1; id <= 8; ++id) driver.request(id, kQuick);
+  for (RequestId id = 1; id <= 8; ++id) driver.request(id, kIdempotent);
   EXPECT_EQ(driver.attempts_at(7), 8);
 }
 
