--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -5,12 +5,13 @@
 namespace heronwell::test {
 namespace {
 
-// The router is paused for two seconds, and requests pile up in front of it. Those that cannot meet their
-// objective any more are rejected at once, so that they do not delay the others.
-TEST(Absence, WhatWaitedWhileTheRouterWasPausedIsRejectedIfItCannotBeInTime) {
+// While the router process is paused for two seconds, requests wait in its sockets and arrive in one burst
+// afterwards. Requests that cannot meet their latency objective any more are rejected at once, so that they
+// do not delay the others.
+TEST(Absence, RejectsRequestsThatWaitedDuringAPauseAndCannotMeetTheirObjective) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8)});
-  driver.request(1, 0);  // comes with 5 s left, as all do
+  driver.request(1, 0);  // has 5 s left on arrival, like all requests without delay
   driver.finish(1, 0, driver.started.back().engine, AttemptResult::served);
   driver.now += 2s;
   RequestArrived late, recent;
@@ -23,13 +24,13 @@
   EXPECT_EQ(driver.attempts_of(2), 0);
   EXPECT_EQ(driver.attempts_of(3), 1);
   driver.run_until(driver.now + 100ms);
-  driver.request(4, 0, 3200ms);  // with a turn in time, little time left is the client's own choice
+  driver.request(4, 0, 3200ms);  // without a pause, the client itself chose the short time limit
   EXPECT_EQ(driver.attempts_of(4), 1);
 }
 
-// One tenant sends twenty times its quota. The arrival rate rose with the flood, and the quota is a part of
-// that rate, so the flood was soon within it. The rate does not follow a flood.
-TEST(TenantQuota, AFloodDoesNotRaiseTheQuotaItIsMeasuredAgainst) {
+// One tenant sends twenty times its quota. The quota is a ratio of the measured arrival rate. If that rate
+// followed the flood, the flood would soon be within the quota.
+TEST(TenantQuota, DoesNotRiseWithAFloodOfOneTenant) {
   Settings settings = basic_settings();
   settings.over_quota_weight = 0.05;
   settings.health_checks_enabled = true;
@@ -47,7 +48,8 @@
       arrival.time_left = 5s;
       HealthCheckResult check;
       check.engine = 7 + id % 2;
-      check.load = {requests_of_first > 5 ? 7.0 : 0.0};  // the others congest it, past 1.5 threads a core
+      // During the flood, load of other routers congests the engine: above 1.5 threads per core.
+      check.load = {requests_of_first > 5 ? 7.0 : 0.0};
       driver.handle(driver.now, {check, arrival});
       if (driver.attempts_of(id) > 0) {
         ++served[arrival.tenant];
@@ -64,13 +66,13 @@
     flooding += served[0];
     other += served[1];
   }
-  EXPECT_LE(flooding, 90) << "5 a second are its quota, and what it had saved up";
+  EXPECT_LE(flooding, 90) << "expected at most the quota of 5 requests per second and the saved tokens";
   EXPECT_GE(other, 45);
 }
 
-// One tenant floods the router while no engine is ready. Beyond its quota it is rejected on arrival; a
-// request of another tenant is not.
-TEST(TenantQuota, AFloodIsRejectedOnceRequestsWaitAndOthersAreNot) {
+// One tenant floods the router while no engine is ready. Its requests beyond the quota are rejected on
+// arrival; a request of another tenant is not.
+TEST(TenantQuota, RejectsAFloodWhileRequestsAreQueuedButNoOtherTenant) {
   Settings settings = basic_settings();
   settings.over_quota_weight = 0.05;
   settings.tenants = {{"calm", 0.5, 20}, {"flood", 0.5, 20}};
@@ -91,9 +93,10 @@
   EXPECT_EQ(driver.rejected[calm], 0);
 }
 
-// One query of many times the usual work took the place of several, and half of all were rejected. While the
-// fleet is congested the largest are rejected first, and a usual one never is for its size.
-TEST(QuerySize, WhileCongestedTheLargestAreRejectedFirst) {
+// One query with many times the usual work would take the capacity of several queries, and half of all
+// requests would be rejected. While the fleet is congested, the largest queries are rejected first; a query
+// of the usual size is never rejected because of its size.
+TEST(QuerySize, RejectsTheLargestQueriesFirstWhileCongested) {
   Settings settings = basic_settings();
   settings.classes.resize(1);
   settings.load_fields = {LoadField::in_flight};
@@ -116,7 +119,7 @@
   };
   send_requests(1, 1);
   driver.handle(driver.now, {estimated_request(500, 400ms)});
-  EXPECT_EQ(driver.final_answers(500), 0) << "not congested";
+  EXPECT_EQ(driver.final_answers(500), 0) << "expected no rejection while the fleet is not congested";
   driver.finish(500, 0, driver.engine_of(500, 0), AttemptResult::served);
   send_requests(101, 5.5);
   driver.handle(driver.now, {estimated_request(501, 400ms), estimated_request(502, 100ms)});
@@ -124,7 +127,7 @@
   EXPECT_EQ(driver.final_answers(502), 0);
 }
 
-TEST(QuerySize, WhatTakesLongerThanItsClientWaitsIsRejectedAtOnce) {
+TEST(QuerySize, RejectsAQueryAtOnceIfItsExpectedAnswerTimeExceedsItsTimeLeft) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8)});
   for (RequestId id = 1; id <= 40; ++id) {
@@ -135,9 +138,9 @@
   EXPECT_EQ(driver.rejected[50], 1);
 }
 
-// Engines report no load and gossip is off, so congestion was never seen and a flood was admitted. Answers
-// slower than usual show it as well.
-TEST(TenantQuota, SlowAnswersShowCongestionAndAFloodIsRejectedWithoutLoadReports) {
+// If engines report no load and gossip is off, only answer times above the usual ones show congestion. If
+// they were not used, a flood would be admitted.
+TEST(TenantQuota, RejectsAFloodWithoutLoadReportsIfAnswersAreSlow) {
   for (const bool slow : {false, true}) {
     Settings settings = basic_settings();
     settings.classes.resize(1);
--- a/tests/decision/decision_driver.hpp
+++ b/tests/decision/decision_driver.hpp
@@ -1,5 +1,5 @@
-// The fixture of the decision tests: a decision engine on a clock that the test moves, and what it has done
-// so far.
+// DecisionDriver is the fixture of the decision tests. It runs a decision engine on a clock that the test
+// advances, and records the engine's actions.
 #pragma once
 
 #include <algorithm>
@@ -13,7 +13,8 @@
 
 using namespace std::chrono_literals;
 
-// Classes of basic_settings(): idempotent; not idempotent; with an idempotency key, in the scope of a zone.
+// Classes of basic_settings(): idempotent; not idempotent; with an idempotency key that is valid within
+// a zone.
 constexpr ClassIndex kIdempotent = 0, kNotIdempotent = 1, kWithKey = 2;
 
 inline Settings basic_settings() {
@@ -52,7 +53,8 @@
   explicit DecisionDriver(Settings settings, std::uint64_t seed = 1)
       : decision_engine(std::move(settings), seed) {}
 
-  // Moves the clock to `time` and passes the events. Returns the actions, and counts them below.
+  // Sets the clock to `time` and passes the events to the decision engine. Returns its actions and records
+  // them in the members below.
   std::vector<Action> handle(Time time, std::vector<Event> events) {
     now = time;
     std::vector<Action> actions;
@@ -67,7 +69,7 @@
     }
     return actions;
   }
-  // Lets the clock run to `time`; timers fire when they are due.
+  // Advances the clock to `time`; timers fire when they are due.
   void run_until(Time time) {
     while (next_timer <= time) handle(next_timer, {TimerFired{}});
     handle(time, {});
@@ -102,7 +104,7 @@
   [[nodiscard]] int attempts_at(EngineId engine) const {
     return static_cast<int>(std::ranges::count(started, engine, &StartAttempt::engine));
   }
-  // Where attempt n of the request went; 0: there is none.
+  // Engine of the n-th attempt (from 0) of the request; 0: there is no such attempt.
   [[nodiscard]] EngineId engine_of(RequestId id, int n) const {
     for (const auto& start : started) {
       if (start.request == id && n-- == 0) return start.engine;
@@ -133,7 +135,7 @@
   return entry;
 }
 
-// A request of the first class with estimates.
+// Returns a request of the first class that carries estimates of its work and memory.
 inline RequestArrived estimated_request(RequestId id, Time work, double memory_mb = 0) {
   RequestArrived arrival;
   arrival.request = id;
--- a/tests/decision/decision_engine_test.cpp
+++ b/tests/decision/decision_engine_test.cpp
@@ -5,7 +5,7 @@
 namespace heronwell::test {
 namespace {
 
-TEST(Determinism, SameEventsSameActions) {
+TEST(Determinism, TheSameSeedAndEventsGiveTheSameActions) {
   const auto run = [] {
     DecisionDriver driver(basic_settings(), 99);
     driver.update_endpoints({endpoint(3), endpoint(4), endpoint(5)});
@@ -20,7 +20,7 @@
   EXPECT_EQ(run(), run());
 }
 
-TEST(Events, ARequestOfAnUnknownClassIsRejected) {
+TEST(Events, RejectsARequestOfAnUnknownClass) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7)});
   driver.request(1, 99);
--- a/tests/decision/dispatcher_test.cpp
+++ b/tests/decision/dispatcher_test.cpp
@@ -5,9 +5,9 @@
 namespace heronwell::test {
 namespace {
 
-// Attempts had deadlines of their own, earlier than the client's. They left work behind on engines that
-// ignore cancellation, and cut honest long queries. An attempt now has all the time that the client has.
-TEST(AttemptDeadline, IsTheClientsDeadlineNotAnEarlierOne) {
+// A deadline of the attempt before the client's deadline would leave work behind on engines that ignore
+// cancellation, and would end legitimate long queries. An attempt gets all of the client's time.
+TEST(AttemptDeadline, IsTheClientsDeadline) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7)});
   driver.request(1, 0, 5s);
@@ -15,9 +15,9 @@
   EXPECT_LT(driver.started[0].deadline, driver.now + 5s);
 }
 
-// Long classes were rejected although their objective, which grows with their work, left time. They stay
-// queued longer.
-TEST(QueueingTime, AClassWhoseObjectiveGrowsWithItsWorkIsQueuedLonger) {
+// A latency objective that grows with the work leaves more time to wait. Requests of such a class must not be
+// rejected as early as those of a class with a fixed objective.
+TEST(QueueingTime, IsLongerForAClassWhoseObjectiveGrowsWithItsWork) {
   Settings settings = basic_settings();
   settings.classes[2].idempotency = Idempotency::idempotent;
   settings.classes[2].latency_objective = settings.classes[0].latency_objective;
@@ -33,8 +33,8 @@
   EXPECT_EQ(driver.rejected[2], 1);
 }
 
-TEST(QueueingTime, AQueuedRequestIsRejectedWhenItsExpectedAnswerWouldBeLate) {
-  for (const Time work : {100ms, 30ms}) {  // of the usual size; small, with more time left to wait
+TEST(QueueingTime, RejectsAQueuedRequestWhenItsExpectedAnswerWouldBeLate) {
+  for (const Time work : {100ms, 30ms}) {  // usual size; small, so that it may wait longer
     Settings settings = basic_settings();
     settings.classes.resize(1);
     DecisionDriver driver(settings);
@@ -50,7 +50,7 @@
   }
 }
 
-TEST(Ranking, TheShorterObjectiveGoesFirstAndThenTheHigherPriority) {
+TEST(Ranking, StartsTheShorterObjectiveFirstAndThenTheHigherPriority) {
   Settings settings = basic_settings();
   settings.machine_types = {{"one", 0.5, 0}};  // one thread
   settings.classes.resize(3);
@@ -74,9 +74,9 @@
   EXPECT_EQ(driver.started[started_before].request, 12U);
 }
 
-// No engine is ready, so a request waits. When an answer would miss the latency objective it is rejected,
-// once, long before its deadline.
-TEST(QueueingTime, AQueuedRequestIsRejectedOnceItsLatencyObjectiveIsLost) {
+// No engine is ready, so a request waits. It is rejected, exactly once, when its answer would miss the
+// latency objective, long before its deadline.
+TEST(QueueingTime, RejectsAQueuedRequestOnceWhenItCannotMeetItsObjective) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({});
   driver.request(1, kIdempotent);
--- a/tests/decision/engine_selector_test.cpp
+++ b/tests/decision/engine_selector_test.cpp
@@ -5,9 +5,9 @@
 namespace heronwell::test {
 namespace {
 
-// Every router without a query on a full engine still sent one there; with many routers the engine was
-// overloaded. One that is reported full gets nothing.
-TEST(Capacity, AnEngineReportedFullGetsNothing) {
+// If every router without a query on a full engine could still send one there, many routers would overload
+// it. An engine that reports that it is full gets no query.
+TEST(Capacity, SendsNoQueryToAnEngineThatReportsItIsFull) {
   Settings settings = basic_settings();
   settings.router_count = 8;
   settings.load_fields = {LoadField::in_flight};
@@ -24,9 +24,9 @@
   EXPECT_EQ(driver.attempts_of(2), 0);
 }
 
-// Reports are late and the same for all routers: by them alone every router sent to the one idle engine at
-// once. It gets more than the others, but not everything.
-TEST(Capacity, AnEngineReportedIdleDoesNotGetEverything) {
+// Reports are old, and all routers read the same ones. With reports alone, every router would send to the one
+// idle engine at the same time. It gets more queries than the others, but not all.
+TEST(Capacity, SendsMoreButNotAllQueriesToAnEngineThatReportsItIsIdle) {
   Settings settings = basic_settings();
   settings.router_count = 4;
   settings.load_fields = {LoadField::in_flight};
@@ -41,12 +41,12 @@
   }
   for (RequestId id = 1; id <= 8; ++id) driver.request(id, 0);
   EXPECT_LT(driver.attempts_at(8), 8);
-  EXPECT_GE(driver.attempts_at(8), 2) << "but more than the others";
+  EXPECT_GE(driver.attempts_at(8), 2) << "expected more queries on the idle engine than on the others";
 }
 
-// Spread evenly, a group's data was in no engine's cache. While load is equal, all routers send a group's
-// queries to the same two engines.
-TEST(DataLocality, QueriesOfADataGroupPreferTheSameTwoEnginesWhileLoadIsEqual) {
+// If the queries of a data group ran on all engines, no engine would have the group's data in its cache.
+// While loads are equal, all routers send the queries of a group to the same two engines.
+TEST(DataLocality, PrefersTheSameTwoEnginesForADataGroupWhileLoadIsEqual) {
   Settings settings = basic_settings();
   settings.machine_types = {{"one", 32, 0}};
   std::map<EngineId, int> preferred;
@@ -59,9 +59,9 @@
   EXPECT_EQ(preferred.size(), 2U);
 }
 
-// Loads of hot data groups ran on nearly every engine, and most short queries waited behind one. Loads of a
-// group now share two engines, which its readers avoid.
-TEST(DataLocality, LoadsOfADataGroupShareTwoEnginesAndReadersAvoidThem) {
+// If loads of frequently used data groups ran on nearly every engine, most short queries would wait behind
+// one. The loads of a group run on the same two engines, which queries that read the group avoid.
+TEST(DataLocality, RunsLoadsOfADataGroupOnTwoEnginesThatReadersAvoid) {
   Settings settings = basic_settings();
   settings.classes[1].holds_data_group = true;
   settings.classes[0].waits_for_data_group = true;
@@ -73,7 +73,8 @@
   std::map<EngineId, int> load_engines;
   for (const DecisionDriver* driver : {&one, &two})
     for (const auto& sent : driver->started) ++load_engines[sent.engine];
-  EXPECT_EQ(load_engines.size(), 2U) << "both routers choose the same two, though neither hears of the other";
+  EXPECT_EQ(load_engines.size(), 2U)
+      << "expected the same two engines from both routers without any communication";
   for (RequestId id = 11; id <= 16; ++id) {
     one.request(id, 0, 5s, 0, 12);
     ASSERT_EQ(one.attempts_of(id), 1);
@@ -81,9 +82,10 @@
   }
 }
 
-// In a large fleet a router hears of some engines only. Those without reports counted as idle, and all
-// routers sent there. They count as like the rest, and the engine known to be idle is chosen.
-TEST(LargeFleet, AnEngineWithoutReportsIsNotTakenForIdle) {
+// In a large fleet, a router has reports of some engines only. If engines without reports counted as
+// idle, all routers would send there. They are assumed to be like the rest, and an engine that is known
+// to be idle is chosen.
+TEST(LargeFleet, PrefersAnEngineKnownToBeIdleToEnginesWithoutReports) {
   Settings settings = basic_settings();
   settings.router_count = 100;
   settings.health_checks_enabled = true;
@@ -92,7 +94,7 @@
   std::vector<Endpoint> engines;
   for (EngineId id = 1; id <= 40; ++id) engines.push_back(endpoint(id));
   driver.update_endpoints(engines);
-  for (EngineId id = 1; id <= 40; ++id) {  // all busy, but one that is known to be idle
+  for (EngineId id = 1; id <= 40; ++id) {  // only engine 5 is idle; 6 to 33 have no report
     HealthCheckResult check;
     check.engine = id;
     check.load = {id == 5 ? 0.0 : 20.0};
@@ -104,8 +106,9 @@
   EXPECT_EQ(driver.started.back().engine, 5U);
 }
 
-TEST(Capacity, LaterClassesStopEarlierSoThatTheFirstFindsCapacity) {
-  // Traffic has turned to a heavy class for good: the fleet stands between both limits.
+// A heavy class takes over the traffic for good, and the fleet's level is between the limits of the first and
+// of later classes. Later classes must leave capacity to the first class.
+TEST(Capacity, KeepsCapacityForTheFirstClassByLowerLimitsForLaterOnes) {
   Settings settings = basic_settings();
   settings.router_count = 100;
   settings.health_checks_enabled = true;
@@ -115,7 +118,7 @@
   for (EngineId id : {7U, 8U}) {
     HealthCheckResult check;
     check.engine = id;
-    check.load = {7.0};  // 1.75 threads a core
+    check.load = {7.0};  // 1.75 threads per core
     driver.handle(driver.now, {check});
   }
   driver.request(1, 1);
--- a/tests/decision/engine_table_test.cpp
+++ b/tests/decision/engine_table_test.cpp
@@ -5,7 +5,7 @@
 namespace heronwell::test {
 namespace {
 
-TEST(EngineTable, AnEngineLongGoneIsForgottenAndOneThatReturnsIsNew) {
+TEST(EngineTable, RemovesAGoneEngineAndTreatsItAsNewWhenItReturns) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8)});
   for (int n = 0; n < 2; ++n) {
@@ -18,7 +18,7 @@
   driver.finish(10, 0, 9, AttemptResult::served);
   driver.update_endpoints({endpoint(7)});
   driver.request(11, 0);
-  EXPECT_EQ(driver.attempts_of(11), 1) << "what it did long ago no longer counts";
+  EXPECT_EQ(driver.attempts_of(11), 1) << "expected the earlier failures to be forgotten";
 }
 
 }  // namespace
--- a/tests/decision/forwarding_rules_test.cpp
+++ b/tests/decision/forwarding_rules_test.cpp
@@ -5,19 +5,19 @@
 namespace heronwell::test {
 namespace {
 
-// A request that is not idempotent arrives with 200 ms left and no engine is ready. It never ran, so it may
-// be rejected, and is before its deadline.
-TEST(FinalAnswer, AShortDeadlineIsKeptWhenNothingStarted) {
+// A request that is not idempotent arrives with 200 ms left while no engine is ready. It never ran, so it may
+// be rejected, and it is rejected before its deadline.
+TEST(FinalAnswer, RejectsARequestThatNeverStartedBeforeAShortDeadline) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({});
   driver.request(1, kNotIdempotent, 200ms);
   driver.run_until(driver.now + 200ms);
-  EXPECT_EQ(driver.rejected[1], 1) << "nothing ran, so it may be rejected although it is not idempotent";
+  EXPECT_EQ(driver.rejected[1], 1) << "expected a rejection: not idempotent, but no attempt ran";
 }
 
-// A request that is not idempotent is in flight when its deadline comes. It may have run, so it fails rather
-// than being rejected, gets one answer, and is not retried when the attempt ends later.
-TEST(FinalAnswer, ARequestThatIsNotIdempotentFailsBeforeTheDeadlineWhileInFlight) {
+// A request that is not idempotent is in flight at its deadline. It may have run, so it fails instead of
+// being rejected, gets one answer, and is not retried when its attempt ends later.
+TEST(FinalAnswer, FailsARequestThatIsNotIdempotentBeforeItsDeadlineWhileInFlight) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7)});
   driver.request(1, kNotIdempotent, 1s);
@@ -32,8 +32,8 @@
   EXPECT_EQ(driver.attempts_of(1), 1);
 }
 
-// The client disconnects while the engine still works on its query. The threads count until the engine is
-// done; a result that comes twice frees them once, and nothing is answered or retried.
+// The client disconnects while the engine still runs its query. The query's threads count as running until
+// its result arrives. A duplicate of the result does not free them twice, and no answer or retry follows.
 TEST(FinalAnswer, ALateResultOfAClosedRequestOnlyFreesItsThreads) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7)});
@@ -41,7 +41,7 @@
   ASSERT_EQ(driver.decision_engine.class_view(kIdempotent).running_threads, 1U);
   driver.handle(driver.now, {ClientDisconnected{1}});
   EXPECT_EQ(driver.decision_engine.class_view(kIdempotent).running_threads, 1U)
-      << "the engine may still work on it";
+      << "expected the threads to count: the engine may still run the query";
   driver.finish(1, 0, 7, AttemptResult::error);
   driver.finish(1, 0, 7, AttemptResult::error);
   EXPECT_EQ(driver.decision_engine.class_view(kIdempotent).running_threads, 0U);
@@ -51,9 +51,9 @@
 
 class AfterResult : public ::testing::TestWithParam<std::pair<AttemptResult, bool>> {};
 
-// A request that is not idempotent ends with each of the results. Where the result proves that it never ran
-// it is retried; else it fails, as a retry could double its effect.
-TEST_P(AfterResult, ARequestThatIsNotIdempotentIsRetriedOnlyIfItNeverRan) {
+// An attempt of a request that is not idempotent ends with each of the results. If the result proves that the
+// attempt never ran, the request is retried. Otherwise it fails, as a retry could double its effect.
+TEST_P(AfterResult, RetriesARequestThatIsNotIdempotentOnlyIfItNeverRan) {
   const auto [result, is_retried] = GetParam();
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8)});
@@ -73,9 +73,9 @@
                       std::pair{AttemptResult::timed_out, false}, std::pair{AttemptResult::reset, false},
                       std::pair{AttemptResult::cancelled, false}));
 
-// An attempt with an idempotency key fails in zone 0 after it may have run. Only engines of its zone drop
-// the repeat, so it is retried there, though an idle engine of another zone is ready.
-TEST(Idempotency, ARequestWithAKeyThatMayHaveRunStaysInItsScope) {
+// An attempt with an idempotency key fails in zone 0 after it may have run. Only engines of that zone discard
+// a repetition, so it is retried there, although an idle engine of another zone is ready.
+TEST(Idempotency, RetriesARequestWithAKeyThatMayHaveRunOnlyInItsScope) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7, 0)});
   driver.request(1, kWithKey);
@@ -86,9 +86,9 @@
   EXPECT_EQ(driver.started.back().engine, 7U);
 }
 
-// An attempt with an idempotency key fails just before, or at, the end of the deduplication window. After it
-// a retry would run a second time, so the request fails.
-TEST(Idempotency, ARequestWithAKeyIsNotRetriedAfterItsDeduplicationWindow) {
+// An attempt with an idempotency key fails just before, or at, the end of the deduplication window. After the
+// window a retry would run a second time, so the request fails.
+TEST(Idempotency, DoesNotRetryARequestWithAKeyAfterItsDeduplicationWindow) {
   for (const bool after_window : {false, true}) {
     DecisionDriver driver(basic_settings());
     driver.update_endpoints({endpoint(7, 0)});
@@ -96,18 +96,19 @@
     driver.run_until(driver.now + (after_window ? 2000ms : 1900ms));
     driver.finish(1, 0, 7, AttemptResult::error);
     EXPECT_EQ(driver.attempts_of(1), after_window ? 1 : 2);
-    EXPECT_EQ(driver.failed[1], after_window ? 1 : 0) << "a rejection would promise too much";
+    EXPECT_EQ(driver.failed[1], after_window ? 1 : 0)
+        << "expected a failure: a rejection would promise that a retry is safe";
   }
 }
 
-// A retry allowed within the deduplication window may wait at the engine until the window is over. So it
-// carries the time by which it must start.
-TEST(Idempotency, ARetryWithAKeySaysByWhenItMustStart) {
+// A retry within the deduplication window may wait at the engine until the window has ended. The attempt
+// therefore carries the latest time at which it may start.
+TEST(Idempotency, LimitsTheStartTimeOfARetryWithAKey) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7, 0)});
   const auto started_at = driver.now;
   driver.request(1, kWithKey);
-  EXPECT_EQ(driver.started.back().start_before, Time::max()) << "nothing has run";
+  EXPECT_EQ(driver.started.back().start_before, Time::max()) << "expected no limit for the first attempt";
   driver.run_until(driver.now + 300ms);
   driver.finish(1, 0, 7, AttemptResult::error);
   ASSERT_EQ(driver.attempts_of(1), 2);
@@ -115,24 +116,25 @@
   EXPECT_GT(driver.started.back().start_before, started_at + 1900ms);
 }
 
-// An attempt without progress is cancelled, and the engine does not confirm. Until it does the attempt may
-// still run, so no second one starts where hedging is off.
-TEST(Attempts, ACancelledAttemptIsWaitedForBeforeTheNextStarts) {
+// An attempt without progress is cancelled, and the engine does not confirm the cancellation. The attempt may
+// still run until it does, so no second attempt starts if hedging is off.
+TEST(Attempts, StartsNoFurtherAttemptBeforeACancellationIsConfirmed) {
   Settings settings = basic_settings();
   settings.progress_interval = 500ms;
   DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8)});
   driver.request(1, kIdempotent);
   ASSERT_EQ(driver.attempts_of(1), 1);
-  driver.run_until(driver.now + 3s);  // silent: cancelled, but not confirmed yet
+  driver.run_until(driver.now + 3s);  // no progress: cancelled, but not confirmed yet
   ASSERT_FALSE(driver.cancelled.empty());
   EXPECT_EQ(driver.attempts_of(1), 1);
   driver.finish(1, 0, driver.started[0].engine, AttemptResult::cancelled);
   EXPECT_EQ(driver.attempts_of(1), 2);
 }
 
-// Every engine fails the request. After the third attempt it is rejected, though a fourth engine is ready.
-TEST(Attempts, ARequestGetsNoMoreAttemptsThanTheSettingsAllow) {
+// Every attempt of the request fails. The request is rejected after the third attempt, although a fourth
+// engine is ready.
+TEST(Attempts, StartsNoMoreAttemptsThanTheSettingsAllow) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9), endpoint(10)});
   driver.request(1, kIdempotent);
@@ -144,7 +146,7 @@
   EXPECT_EQ(driver.rejected[1], 1);
 }
 
-TEST(Draining, NothingGoesToADrainingOrRemovedEngineOrOneMissingInASnapshot) {
+TEST(Draining, StartsNoAttemptAtADrainingOrRemovedEngineOrOneMissingInASnapshot) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9), endpoint(10)});
   driver.update_endpoints(
@@ -159,7 +161,7 @@
   EXPECT_EQ(driver.attempts_at(9), 5);
 }
 
-TEST(Draining, AnEngineThatIsReadyAgainGetsWork) {
+TEST(Draining, StartsAttemptsAtAnEngineThatIsReadyAgain) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7)}, UpdateKind::cached);
   driver.update_endpoints({with_state(endpoint(7), EndpointState::removed)}, UpdateKind::delta);
@@ -169,9 +171,9 @@
   EXPECT_EQ(driver.attempts_of(1), 1);
 }
 
-// Two requests of one key arrive. The first times out and may still run at its engine; the second waits for
-// it, and then for the quiet period, so that it cannot overtake it.
-TEST(KeyOrder, RequestsOfAKeyRunOneByOneWithAQuietPeriodAfterATimeOut) {
+// Two requests with one ordering key arrive. The first times out and may still run at its engine. The second
+// waits for the end of the first and then for the quiet period, so that it cannot overtake the first.
+TEST(KeyOrder, RunsRequestsOfAKeyOneAtATimeWithAQuietPeriodAfterATimeout) {
   Settings settings = basic_settings();
   settings.classes[kIdempotent].ordered_by_key = true;
   settings.ordering_quiet_period = 300ms;
@@ -194,9 +196,9 @@
   EXPECT_EQ(driver.attempts_of(2), 1);
 }
 
-// The client of the first of a key disconnects while its query runs. The next of the key waits until the
-// engine is done with it.
-TEST(KeyOrder, AClosedRequestHoldsItsKeyWhileItsAttemptIsInFlight) {
+// The client of the first request of a key disconnects while its query runs. The next request of the key
+// waits until the attempt has ended.
+TEST(KeyOrder, AClosedRequestBlocksItsKeyWhileItsAttemptIsInFlight) {
   Settings settings = basic_settings();
   settings.classes[kIdempotent].ordered_by_key = true;
   DecisionDriver driver(settings);
@@ -209,7 +211,7 @@
   EXPECT_EQ(driver.attempts_of(2), 1);
 }
 
-TEST(Placement, HoldsAtEveryAttemptAndWhenAllAllowedEnginesAreGone) {
+TEST(Placement, AppliesToEveryAttemptAndWhenAllAllowedEnginesAreGone) {
   Settings settings = basic_settings();
   settings.classes[kIdempotent].allowed_zones = {{1}};
   settings.classes[kIdempotent].allowed_machine_types = {{1}};
@@ -227,9 +229,9 @@
   EXPECT_EQ(driver.final_answers(2), 1);
 }
 
-// Engines reject one request after the other. Retries stay within the budget, and are allowed again once the
-// window has passed.
-TEST(RetryBudget, CountsRetriesAgainstRequestsInTheWindow) {
+// Engines reject every first attempt. The number of retries stays within the budget, and retries are allowed
+// again after the window has passed.
+TEST(RetryBudget, LimitsRetriesByTheNumberOfRequestsInTheWindow) {
   Settings settings = basic_settings();
   settings.retry_budget = RetryBudget{10s, 1, 0.2};
   DecisionDriver driver(settings);
@@ -252,7 +254,7 @@
   EXPECT_TRUE(retried(5));  // 2 <= 1 + 1.0
   EXPECT_FALSE(retried(6));
   driver.run_until(driver.now + 11s);
-  EXPECT_TRUE(retried(7)) << "the window has passed";
+  EXPECT_TRUE(retried(7)) << "expected a retry after the window has passed";
 }
 
 }  // namespace
--- a/tests/decision/gossip_codec_test.cpp
+++ b/tests/decision/gossip_codec_test.cpp
@@ -5,9 +5,9 @@
 namespace heronwell::test {
 namespace {
 
-// A message of another router is cut, too long or of an unknown kind. Nothing of it is used; half of one
-// would name the wrong engine.
-TEST(GossipCodec, AMalformedMessageIsIgnoredWhole) {
+// A message of a peer router is truncated, too long or of an unknown kind. It is ignored as a whole, because
+// a truncated message would yield wrong engine ids.
+TEST(GossipCodec, IgnoresAMalformedMessageAsAWhole) {
   Settings settings = basic_settings();
   settings.router_count = 3;
   settings.gossip_enabled = true;
--- a/tests/decision/gossip_test.cpp
+++ b/tests/decision/gossip_test.cpp
@@ -5,8 +5,8 @@
 namespace heronwell::test {
 namespace {
 
-// A quarter of the fleet restarted: what ran there was gone, yet the level that gossip gave stayed high and
-// everything was rejected. The level follows within twenty messages.
+// When a quarter of the fleet restarts, the queries that ran there are gone. If the level estimated from
+// gossip stayed high, all requests would be rejected. The estimate must fall within twenty messages.
 TEST(FleetLevel, FollowsARestartWithinTwentyMessages) {
   Settings settings = basic_settings();
   settings.router_count = 40;
@@ -16,9 +16,9 @@
   std::vector<Endpoint> engines;
   for (EngineId id = 1; id <= 5; ++id) engines.push_back(endpoint(id));
   for (auto* each : {&peer, &driver}) each->update_endpoints(engines);
-  const auto next_message = [&peer] {  // what the other router sends now
+  const auto next_message = [&peer] {  // returns the next message that the peer sends
     for (RequestId id = 100; id < 110; ++id)
-      peer.request(id, 5);  // of no class: rejected, but they earn bytes
+      peer.request(id, 5);  // unknown class: rejected, but adds to the gossip budget
     for (int tick = 0; tick < 50; ++tick) {
       for (const auto& action : peer.handle(peer.next_timer, {TimerFired{}}))
         if (const auto* gossip = std::get_if<SendGossip>(&action)) return gossip->bytes;
@@ -40,7 +40,7 @@
   };
   for (int i = 0; i < 30; ++i) receive(busy_message);
   driver.request(1, 0);
-  EXPECT_EQ(driver.started.size(), 0U) << "six threads a core by gossip";
+  EXPECT_EQ(driver.started.size(), 0U) << "expected no attempt while gossip reports six threads per core";
   for (int i = 0; i < 20; ++i) receive(idle_message);
   driver.request(2, 0);
   EXPECT_GT(driver.started.size(), 0U);
--- a/tests/decision/health_checker_test.cpp
+++ b/tests/decision/health_checker_test.cpp
@@ -5,7 +5,7 @@
 namespace heronwell::test {
 namespace {
 
-TEST(LargeFleet, ARequestCostsNoMoreHealthChecksOrGossipInALargerFleet) {
+TEST(LargeFleet, HealthChecksAndGossipPerRequestDoNotGrowWithTheFleet) {
   for (const unsigned size : {20U, 200U}) {
     Settings settings = basic_settings();
     settings.router_count = 4 * size;
@@ -29,7 +29,7 @@
         checks += std::holds_alternative<StartHealthCheck>(action) ? 1 : 0;
         const auto* gossip = std::get_if<SendGossip>(&action);
         if (gossip == nullptr) continue;
-        EXPECT_TRUE(gossip->to_router.has_value()) << "never to hundreds at once";
+        EXPECT_TRUE(gossip->to_router.has_value()) << "expected a message to one router, not to all of them";
         bytes += gossip->bytes.size();
       }
     }
--- a/tests/decision/latency_controller_test.cpp
+++ b/tests/decision/latency_controller_test.cpp
@@ -1,6 +1,6 @@
-// The control loop, against sequences worked out by hand from U(m) = U(m-1) + K (E(m) - r E(m-1)), with K =
-// -0.80 in tenths of the pool, r = 0.30, E in delay objectives, and a delay objective of 0.30 of the latency
-// objective.
+// These tests compare the control loop with sequences that are computed here from U(m) = U(m-1) + K (E(m) - r
+// E(m-1)), with K = -0.80 in tenths of the pool, r = 0.30, E in delay objectives, and a delay objective of
+// 0.30 of the latency objective.
 #include <gtest/gtest.h>
 
 #include "decision_driver.hpp"
@@ -10,16 +10,16 @@
 
 Settings loop_settings() {
   Settings settings = basic_settings();
-  settings.machine_types = {{"one", 10, 0}};  // pool of one engine and one router: 20 threads
+  settings.machine_types = {{"one", 10, 0}};  // one engine and one router: a pool of 20 threads
   settings.classes.resize(1);
   settings.classes[0].latency_objective = 100s;         // delay objective 30 s
-  settings.classes[0].latency_objective_per_work = 10;  // nothing is rejected while the loop is watched
+  settings.classes[0].latency_objective_per_work = 10;  // no request is rejected during the test
   settings.classes[0].timeout = 1000s;
   settings.max_attempts = 1;
   return settings;
 }
 
-TEST(LatencyController, AClassThatDoesNotWaitFallsToOneQuerysThreads) {
+TEST(LatencyController, ReducesAClassWithoutDelayToTheThreadsOfOneQuery) {
   Settings settings = loop_settings();
   settings.classes[0].threads = 2;
   DecisionDriver driver(settings);
@@ -29,28 +29,28 @@
   EXPECT_DOUBLE_EQ(driver.decision_engine.pool_threads(), 20);
 }
 
-TEST(LatencyController, RequestsStillQueuedShowInTheMeasure) {
+TEST(LatencyController, KeepsTheSmallestBudgetWhileNoEngineIsReady) {
   DecisionDriver driver(loop_settings());
   driver.update_endpoints({endpoint(7)});
   driver.update_endpoints({with_state(endpoint(7), EndpointState::draining)}, UpdateKind::delta);
   driver.request(1, 0, 500s);
   driver.run_until(driver.now + 60s);
-  // Nothing is ready: the pool is 0, budgets stay at the least. Then the engine comes back with 20 threads,
-  // and a request that came long ago has waited past the objective.
+  // No engine is ready: the pool has 0 threads of the engine's 20, and the budget stays at its minimum
+  // although a queued request has waited longer than the delay objective.
   EXPECT_DOUBLE_EQ(driver.decision_engine.class_view(0).budget_threads, 1);
   EXPECT_DOUBLE_EQ(driver.decision_engine.pool_threads(), 0);
 }
 
-TEST(LatencyController, FollowsTheFormula) {
+TEST(LatencyController, ComputesBudgetsByTheControlEquation) {
   Settings settings = loop_settings();
   settings.machine_types[0].cores = 10;
   DecisionDriver driver(settings);
-  // One engine whose every slot is taken by this class, with more requests queued behind: E falls below 0.
+  // Requests of this class use all threads of the only engine, and one more is queued: E falls below 0.
   driver.update_endpoints({endpoint(7)});
   for (RequestId id = 1; id <= 21; ++id) driver.request(id, 0, 900s);
-  ASSERT_EQ(driver.decision_engine.class_view(0).queued, 1U) << "20 threads of the pool, and one queued";
-  // Period m ends at 2 s x m; one request is queued since 0 s, so its wait is 2m seconds.
-  // Period 1 also counts the 20 that went at once: mean wait 2 / 21.
+  ASSERT_EQ(driver.decision_engine.class_view(0).queued, 1U) << "expected 20 running requests and one queued";
+  // Period m ends at 2 s x m. One request is queued since 0 s, so its delay is 2m seconds. Period 1 also
+  // counts the 20 requests that started at once: its mean delay is 2 / 21.
   const double pool = 20, gain = -0.8 * pool / 10;
   double u = 1, previous_error = 0;
   for (int m = 1; m <= 25; ++m) {
@@ -63,12 +63,13 @@
     previous_error = error;
     EXPECT_NEAR(driver.decision_engine.class_view(0).budget_threads, u, 1e-6) << "period " << m;
   }
-  EXPECT_GT(u, 1.0) << "the sequence must leave the lower bound";
+  EXPECT_GT(u, 1.0) << "expected the sequence to rise above the lower bound";
 }
 
-// Two classes, both waiting: the first takes what it asks for, the second what is left. Once the sum passed
-// the pool, each starts from what it got, not from what it asked for.
-TEST(LatencyController, BudgetsFillByRankAndSaturationStartsFromWhatAClassGot) {
+// Requests of two classes wait. The first class gets the threads of its control input U(m), the second gets
+// the rest. After the sum of the control inputs has exceeded the pool (saturation), the next input of each
+// class is computed from its budget instead of its previous input.
+TEST(LatencyController, AllocatesBudgetsByRankAndUsesThemAsPreviousInputsAfterSaturation) {
   Settings settings = loop_settings();
   settings.classes.push_back(settings.classes[0]);
   settings.classes[1].latency_objective = 101s;  // ranks second; delay objective 30.3 s
@@ -100,7 +101,7 @@
   EXPECT_TRUE(saturated_once);
 }
 
-TEST(LatencyController, ALostEngineChangesThePoolAtOnce) {
+TEST(LatencyController, UpdatesThePoolAtOnceWhenAnEngineIsRemoved) {
   DecisionDriver driver(loop_settings());
   driver.update_endpoints({endpoint(7), endpoint(8)});
   EXPECT_DOUBLE_EQ(driver.decision_engine.pool_threads(), 40);
--- a/tests/decision/load_estimator_test.cpp
+++ b/tests/decision/load_estimator_test.cpp
@@ -5,7 +5,9 @@
 namespace heronwell::test {
 namespace {
 
-// One of many routers, with reports of twenty engines of 16 cores, again and again.
+// Returns a driver of one of many routers after `rounds` rounds of load reports from twenty engines of 16
+// cores. Each report counts about `queries` queries. If `dispersed` is set, every second engine reports none
+// and the others report twice as many; otherwise only engine 20 differs, with half as many.
 DecisionDriver driver_with_reports(bool dispersed, double queries, int rounds) {
   Settings settings = basic_settings();
   settings.router_count = 200;
@@ -27,10 +29,10 @@
   return driver;
 }
 
-// Reports count queries, and limits count threads. With wide classes in the settings that nobody used, each
-// reported query was taken for many threads, and engines seemed full. A reported query counts as one of
-// those that run here.
-TEST(LoadReports, AreWeighedByTheQueriesThatRunHereNotByAllClasses) {
+// Reports count queries, and limits count threads. If a reported query counted as the mean threads of all
+// classes, classes with many threads that nobody uses would make engines seem full. It counts as the mean
+// threads of the queries that this router runs.
+TEST(LoadReports, CountAQueryAsTheMeanThreadsOfThisRoutersQueries) {
   Settings settings = basic_settings();
   settings.classes[1].threads = settings.classes[2].threads = 4;  // never used
   settings.health_checks_enabled = true;
@@ -43,16 +45,17 @@
   driver.run_until(driver.now + 20s);
   HealthCheckResult check;
   check.engine = 7;
-  check.load = {5};  // two of them from here
+  check.load = {5};  // includes the two queries of this router
   driver.handle(driver.now, {check});
   driver.request(3, 0, 30s, 0, 3);
-  EXPECT_EQ(driver.attempts_of(3), 1) << "about seven threads on four cores, not eleven";
+  EXPECT_EQ(driver.attempts_of(3), 1)
+      << "expected an estimate of about seven threads on four cores, not eleven";
 }
 
-// Reports came seconds late: all routers filled the engines that had been idle, again and again. Where
-// reports lie far apart they are believed in part only; where they agree they still say which engine is
-// idle.
-TEST(OldReports, ThatLieFarApartAreBelievedInPartOnly) {
+// When reports are seconds old, all routers fill the engines that were idle, and the load swings between
+// engines. Dispersed reports therefore get a reduced weight; consistent reports still show which engine has
+// the least load.
+TEST(OldReports, HaveAReducedWeightWhenDispersed) {
   DecisionDriver with_consistent_reports = driver_with_reports(false, 20, 5),
                  with_dispersed_reports = driver_with_reports(true, 20, 5);
   int sent_to_least_loaded = 0, sent_to_full = 0;
@@ -65,19 +68,19 @@
     sent_to_least_loaded += with_consistent_reports.started.back().engine == 20 ? 1 : 0;
     sent_to_full += with_dispersed_reports.started.back().engine % 2 == 1 ? 1 : 0;
   }
-  EXPECT_GT(sent_to_least_loaded, 90) << "reports that agree tell which is idle";
-  EXPECT_GE(sent_to_full, 5) << "else what was full a while ago may be empty now";
+  EXPECT_GT(sent_to_least_loaded, 90) << "expected consistent reports to show the engine with the least load";
+  EXPECT_GE(sent_to_full, 5) << "expected some queries on engines that dispersed reports show as full";
   EXPECT_LT(sent_to_full, 50);
 }
 
-// Reports are seconds old while load rises everywhere. What runs here rises at once, so where reports
-// mislead the level is taken to be higher by as much, and fewer are sent.
-TEST(OldReports, OwnThreadsAboveTheUsualShowThatAllRoutersOvershoot) {
+// Reports are seconds old while the load of all engines rises. This router's own load rises at once. If
+// reports are dispersed, the level is therefore estimated higher by the same ratio, and fewer queries
+// are sent.
+TEST(OldReports, RaiseTheLevelByOwnThreadsAboveTheirAverageWhenDispersed) {
   for (const bool dispersed : {false, true}) {
     DecisionDriver driver = driver_with_reports(dispersed, 28, 10);
     const auto before = driver.started.size();
-    for (RequestId id = 1; id <= 6; ++id)
-      driver.request(id, 0, 5s, 0, id);  // far more than it has run of late
+    for (RequestId id = 1; id <= 6; ++id) driver.request(id, 0, 5s, 0, id);  // far above its recent average
     EXPECT_EQ(driver.started.size() - before, dispersed ? 2U : 6U);
   }
 }
--- a/tests/decision/outlier_detector_test.cpp
+++ b/tests/decision/outlier_detector_test.cpp
@@ -5,9 +5,9 @@
 namespace heronwell::test {
 namespace {
 
-// One engine fails every query at once, so it always looks idle and drew most of the work. It is ejected
+// An engine that fails every query at once always looks idle and would attract most queries. It is ejected
 // after two failures in a row, and gets one query at a time on probation.
-TEST(Failures, AnEngineThatFailsEveryQueryAtOnceIsEjectedThoughItLooksIdle) {
+TEST(Failures, EjectAnEngineThatFailsEveryQueryAtOnceAndLooksIdle) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9)});
   int attempts_at_faulty = 0;
@@ -23,13 +23,13 @@
     }
     driver.run_until(driver.now + 20ms);
   }
-  EXPECT_LE(attempts_at_faulty, 4) << "two errors in a row, then one query on probation at a time";
+  EXPECT_LE(attempts_at_faulty, 4) << "expected two errors in a row, then one query at a time on probation";
   EXPECT_GE(attempts_at_faulty, 2);
 }
 
-// A client sends queries that no engine can run. Each engine that failed one was blamed, and soon all were
-// ejected. What two engines fail is the query's own fault: no engine is ejected.
-TEST(Failures, AQueryThatFailsOnEveryEngineEjectsNone) {
+// A client sends queries that no engine can run. If their errors counted against the engines, all engines
+// would soon be ejected. If a query fails on two engines, the query is the cause, and no engine is ejected.
+TEST(Failures, DoNotEjectAnEngineForAQueryThatFailsOnEveryEngine) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8), endpoint(9)});
   for (RequestId id = 1; id <= 40; ++id) {
@@ -45,13 +45,13 @@
     EXPECT_EQ(driver.final_answers(id), always_fails ? 1 : 0);
     driver.run_until(driver.now + 20ms);
     ASSERT_DOUBLE_EQ(driver.decision_engine.pool_threads(), 24)
-        << "all three engines count, after request " << id;
+        << "expected all three engines in the pool after request " << id;
   }
 }
 
-// An engine rejects every query while its reports say that it is idle, so each report drew new work to it.
-// It is ejected after two in a row.
-TEST(Rejections, AnEngineThatRejectsThoughItsReportsSayIdleIsEjected) {
+// An engine rejects every query while it reports that it is idle, so that each report would attract further
+// queries. It is ejected after two rejections in a row.
+TEST(Rejections, EjectAnEngineThatReportsItIsIdle) {
   Settings settings = basic_settings();
   settings.health_checks_enabled = true;
   settings.load_fields = {LoadField::in_flight};
@@ -62,7 +62,7 @@
     for (const EngineId e : {7U, 8U, 9U}) {
       HealthCheckResult check;
       check.engine = e;
-      check.load = {0};  // idle, whatever it answers to queries
+      check.load = {0};  // idle, although engine 8 rejects its queries
       driver.handle(driver.now, {check});
     }
     const auto from = driver.started.size();
@@ -77,12 +77,13 @@
     driver.run_until(driver.now + 20ms);
   }
   EXPECT_GE(attempts_at_faulty, 2);
-  EXPECT_LE(attempts_at_faulty, 6) << "two in a row, then one query on probation at a time";
+  EXPECT_LE(attempts_at_faulty, 6)
+      << "expected two rejections in a row, then one query at a time on probation";
 }
 
-// An engine fails all its queries for a while and then works again. After its probation it gets its part of
-// the work.
-TEST(Failures, AnEngineThatRecoversGetsWorkAgain) {
+// An engine fails all its queries for a while and then works again. After its probation it gets its
+// share of the queries.
+TEST(Failures, SendsQueriesAgainToAnEngineThatRecovers) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7), endpoint(8)});
   const auto send_requests = [&driver](RequestId from, RequestId to, bool is_faulty) {
@@ -104,9 +105,9 @@
   EXPECT_GT(driver.attempts_at(8) - attempts_before, 20);
 }
 
-// An engine stops without closing its connections. It promised progress and gives none, so its query is
-// cancelled and retried on another engine.
-TEST(Silence, QueriesOnASilentEngineAreCancelledAndRetriedElsewhere) {
+// An engine stops without closing its connections. Engines send progress messages, and this one sends none,
+// so its query is cancelled and retried on another engine.
+TEST(Silence, CancelsQueriesOnASilentEngineAndRetriesThemElsewhere) {
   Settings settings = basic_settings();
   settings.progress_interval = 500ms;
   DecisionDriver driver(settings);
@@ -120,8 +121,8 @@
   EXPECT_NE(driver.started.back().engine, 7U);
 }
 
-// An engine stops, and cancellation is not allowed. Its queries must stay there, but no new ones go to it.
-TEST(Silence, ASilentEngineGetsNothingMoreWhereCancellationIsOff) {
+// An engine stops while cancellation is disabled. Its queries must remain there, but it gets no further ones.
+TEST(Silence, SendsNoFurtherQueryToASilentEngineIfCancellationIsDisabled) {
   Settings settings = basic_settings();
   settings.cancellation_enabled = false;
   DecisionDriver driver(settings);
@@ -136,9 +137,9 @@
   EXPECT_TRUE(driver.cancelled.empty());
 }
 
-// One long query, far past the usual answer time, was taken for silence, and healthy engines were ejected. A
-// single query never is enough.
-TEST(Silence, OneLongQueryIsNoSilence) {
+// A query that runs far longer than the usual answer time must not get its healthy engine ejected as silent.
+// A single overdue query is never sufficient.
+TEST(Silence, DoesNotEjectAnEngineForOneLongQuery) {
   Settings settings = basic_settings();
   settings.classes[0].timeout = 60s;
   DecisionDriver driver(settings);
@@ -147,12 +148,13 @@
   const auto at = driver.started[0].engine;
   driver.run_until(driver.now + 10s);
   EXPECT_TRUE(driver.cancelled.empty());
-  EXPECT_DOUBLE_EQ(driver.decision_engine.pool_threads(), 24) << "engine " << at << " still counts";
+  EXPECT_DOUBLE_EQ(driver.decision_engine.pool_threads(), 24)
+      << "expected engine " << at << " to remain in the pool";
 }
 
-// One answer in ten is lost on the way. The engine answers the others, so it is not ejected, and the
-// requests whose answers were lost get theirs before their deadlines.
-TEST(LostAnswers, AnEngineThatAnswersOthersIsNotEjectedAndTheLostEndInTime) {
+// One answer in ten is lost on the way. The engine answers the other queries, so it is not ejected, and the
+// requests whose answers are lost get a final answer before their deadlines.
+TEST(LostAnswers, DoNotEjectAnEngineThatAnswersOthersAndTheirRequestsEndInTime) {
   Settings settings = basic_settings();
   settings.max_attempts = 1;
   DecisionDriver driver(settings);
@@ -160,7 +162,7 @@
   const auto start = driver.now;
   for (RequestId id = 1; id <= 40; ++id) {
     driver.request(id, 0);
-    ASSERT_EQ(driver.attempts_of(id), 1) << "still healthy at " << id;
+    ASSERT_EQ(driver.attempts_of(id), 1) << "expected the engine to be healthy at request " << id;
     const bool is_lost = id % 10 == 0;
     if (is_lost) driver.request(100 + id, 0);
     driver.finish(is_lost ? 100 + id : id, 0, 7, AttemptResult::served);
@@ -170,16 +172,16 @@
   for (RequestId id = 10; id <= 40; id += 10) EXPECT_EQ(driver.final_answers(id), 1);
 }
 
-// The router itself is paused for two seconds. All engines seemed silent to it and were ejected. Now that
-// time does not count, overdue requests end at once, and later silence still counts.
-TEST(Absence, ARouterThatWasPausedBlamesNoEngineAndFinishesWhatIsOverdue) {
+// The router process is paused for two seconds. If the pause counted as silence, all engines would be
+// ejected. It does not count; overdue requests end at once, and silence after the pause still counts.
+TEST(Absence, DoesNotCountAsSilenceOfEnginesAndOverdueRequestsEndAtOnce) {
   Settings settings = basic_settings();
   settings.progress_interval = 500ms;
   DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7), endpoint(8)});
   driver.request(1, 0);
   driver.request(2, 0);
-  driver.now += 2s;  // no call meanwhile; the client of a request that waited has little time left
+  driver.now += 2s;  // no calls during the pause; a request that waited has little time left
   RequestArrived late;
   late.request = 3;
   late.time_left = 30ms;
@@ -188,12 +190,12 @@
   driver.run_until(driver.now + 40ms);
   EXPECT_EQ(driver.final_answers(3), 1);
   driver.run_until(driver.now + 2s);
-  EXPECT_EQ(driver.cancelled.size(), 2U) << "silence that it did see still counts";
+  EXPECT_EQ(driver.cancelled.size(), 2U) << "expected silence after the pause to count";
 }
 
-// Engines report no load, and one rejects a query. Nothing else would keep work from it, so it is ejected
-// and what it runs is cancelled for another engine.
-TEST(Rejections, AFullEngineIsEjectedAndItsQueriesCancelledWhereNothingReportsLoad) {
+// Engines report no load, and one rejects a query. Only ejection prevents further queries from going there,
+// so the engine is ejected, and the queries that it runs are cancelled so that they can run elsewhere.
+TEST(Rejections, EjectAFullEngineAndCancelItsQueriesWithoutLoadReports) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7)});
   driver.request(1, 0);
@@ -201,12 +203,13 @@
   driver.update_endpoints({endpoint(7), endpoint(8)});
   driver.finish(2, 0, 7, AttemptResult::rejected);
   EXPECT_EQ(driver.cancelled, (std::vector<std::pair<RequestId, AttemptIndex>>{{1, 0}}));
-  EXPECT_DOUBLE_EQ(driver.decision_engine.pool_threads(), 8) << "of the other engine";
+  EXPECT_DOUBLE_EQ(driver.decision_engine.pool_threads(), 8)
+      << "expected only the threads of the other engine";
 }
 
-// Queries that waited in an engine's queue sent progress all the time, yet the engine was ejected as silent.
-// It is not; only the attempt without progress is given up.
-TEST(Progress, AnEngineThatSendsProgressIsNotSilentAndAnAttemptWithoutItIsLost) {
+// An engine whose queries wait in its own queue and send progress all the time must not be ejected as silent.
+// Only an attempt without progress is given up.
+TEST(Progress, KeepsAnEngineThatSendsProgressAndCancelsAnAttemptWithoutProgress) {
   Settings settings = basic_settings();
   settings.progress_interval = 1s;
   settings.classes[0].timeout = 30s;
@@ -222,11 +225,11 @@
     driver.handle(driver.now, progress);
   }
   EXPECT_EQ(driver.cancelled, (std::vector<std::pair<RequestId, AttemptIndex>>{{4, 0}}));
-  EXPECT_DOUBLE_EQ(driver.decision_engine.pool_threads(), 16) << "the engine is healthy";
+  EXPECT_DOUBLE_EQ(driver.decision_engine.pool_threads(), 16) << "expected both engines to be healthy";
 }
 
-// The lines that docs/on-call.md names: an engine fails its queries, is ejected, and recovers on probation.
-TEST(LogLines, NameTheEjectionAndTheRecovery) {
+// An engine fails its queries, is ejected, and recovers on probation. docs/on-call.md quotes these log lines.
+TEST(LogLines, ReportTheEjectionAndTheRecovery) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7)});
   std::vector<std::string> lines;
--- a/tests/decision/resource_grants_test.cpp
+++ b/tests/decision/resource_grants_test.cpp
@@ -5,9 +5,9 @@
 namespace heronwell::test {
 namespace {
 
-// With the engines' own choice of memory, large queries spilled to disk and took several times their work.
-// Grants follow the needs that answers report, with a margin.
-TEST(MemoryGrants, FollowTheNeedsThatAnswersReport) {
+// With the engines' own choice of memory, large queries spill to disk and cost several times their work.
+// Grants follow the memory needs that answers report, with a margin.
+TEST(MemoryGrants, FollowTheMemoryNeedsThatAnswersReport) {
   Settings settings = basic_settings();
   settings.memory_grants_enabled = true;
   DecisionDriver driver(settings);
@@ -20,7 +20,7 @@
       if (const auto* resources = std::get_if<SetResources>(&action)) return resources->memory_mb;
     return -1.0;
   };
-  EXPECT_EQ(granted(1), 0) << "nothing reported yet: the engine chooses";
+  EXPECT_EQ(granted(1), 0) << "expected no grant before an answer reports a need: the engine chooses";
   AttemptFinished outcome;
   outcome.request = 1;
   outcome.engine = 7;
@@ -31,7 +31,7 @@
   EXPECT_GT(granted(2), 200);
 }
 
-TEST(EnginePriority, OfLaterClassesSmallerQueriesGetPriority) {
+TEST(EnginePriority, IsHigherForSmallerQueriesOfLaterClasses) {
   Settings settings = basic_settings();
   settings.engine_priorities_enabled = true;
   settings.classes[1].idempotency = Idempotency::idempotent;
@@ -54,7 +54,7 @@
   EXPECT_EQ(priorities, (std::vector<int>{2, 1, 0}));
 }
 
-TEST(MemoryGrants, EstimatesAreCorrectedByWhatAnswersReport) {
+TEST(MemoryGrants, CorrectEstimatesByTheNeedsThatAnswersReport) {
   Settings settings = basic_settings();
   settings.memory_grants_enabled = true;
   DecisionDriver driver(settings);
@@ -64,7 +64,7 @@
     for (const auto& action : driver.handle(driver.now, {estimated_request(id, 100ms, 50)}))
       if (const auto* resources = std::get_if<SetResources>(&action)) granted = resources->memory_mb;
     if (id == 1) {
-      EXPECT_NEAR(granted, 100, 1) << "nothing reported yet: twice the estimate";
+      EXPECT_NEAR(granted, 100, 1) << "expected twice the estimate before an answer reports a need";
     }
     AttemptFinished outcome;
     outcome.request = id;
@@ -75,12 +75,12 @@
     outcome.memory_mb = 150;
     driver.handle(driver.now, {outcome});
   }
-  EXPECT_NEAR(granted, 300, 3) << "needs are three times what the class's estimates say";
+  EXPECT_NEAR(granted, 300, 3) << "expected twice the needs, which are three times the class's estimates";
 }
 
-// The need of queries without an estimate was divided by an estimate of nothing: a grant without end. The
-// first estimate is used as it is.
-TEST(MemoryGrants, AnEstimateAfterAnswersToQueriesWithoutOneIsUsedAsItIs) {
+// If the needs of queries without an estimate were divided by an estimate of 0, the next grant would be
+// infinite. The first estimate is used without a correction.
+TEST(MemoryGrants, DoNotCorrectTheFirstEstimateAfterQueriesWithoutOne) {
   Settings settings = basic_settings();
   settings.memory_grants_enabled = true;
   DecisionDriver driver(settings);
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -5,9 +5,9 @@
 namespace heronwell::test {
 namespace {
 
-// A query has a bad plan and its progress predicts fifty times the usual time. It is restarted elsewhere
-// once; if the second attempt is as slow, the query itself is long and is left alone.
-TEST(BadPlan, AnAttemptThatWouldTakeFarTooLongIsRestartedOnce) {
+// A query has a bad plan, and its progress predicts fifty times the usual answer time. It is restarted once,
+// at another engine. If the second attempt is as slow, the query itself is long, and the attempt is kept.
+TEST(BadPlan, RestartsAnAttemptOnceIfItsProgressPredictsAFarTooLongTime) {
   Settings settings = basic_settings();
   settings.progress_interval = 500ms;
   DecisionDriver driver(settings);
@@ -22,12 +22,12 @@
   driver.handle(driver.now, {AttemptProgress{1, 1, driver.started[1].engine, ProgressKind::progress, 0.01}});
   driver.run_until(driver.now + 500ms);
   driver.handle(driver.now, {AttemptProgress{1, 1, driver.started[1].engine, ProgressKind::progress, 0.02}});
-  EXPECT_EQ(driver.cancelled.size(), 1U) << "the second time it is the query that is long";
+  EXPECT_EQ(driver.cancelled.size(), 1U) << "expected the second attempt to be kept";
 }
 
 // The progress of a query that is not idempotent predicts a very long time. A restart could double its
-// effect, so it is left alone.
-TEST(BadPlan, AnAttemptThatIsNotIdempotentIsLeftAlone) {
+// effect, so the attempt is kept.
+TEST(BadPlan, KeepsASlowAttemptOfARequestThatIsNotIdempotent) {
   Settings settings = basic_settings();
   settings.progress_interval = 500ms;
   DecisionDriver driver(settings);
--- a/tests/decision/settings_check_test.cpp
+++ b/tests/decision/settings_check_test.cpp
@@ -5,7 +5,7 @@
 namespace heronwell::test {
 namespace {
 
-TEST(SettingsCheck, SenselessSettingsAreNamed) {
+TEST(SettingsCheck, RejectsInvalidSettingsByName) {
   Settings settings = basic_settings();
   settings.router_count = 0;
   try {
@@ -22,7 +22,7 @@
   EXPECT_THROW(DecisionEngine(settings, 1), std::invalid_argument);
 }
 
-TEST(SettingsCheck, OptionalSettingsMayBeAbsent) {
+TEST(SettingsCheck, AcceptsSettingsWithoutOptionalValues) {
   Settings settings;
   settings.classes = {basic_settings().classes[0]};
   settings.machine_types = {{"one", 1, 0}};
--- a/tests/decision/simulator_codec_test.cpp
+++ b/tests/decision/simulator_codec_test.cpp
@@ -36,7 +36,7 @@
         "safety": {}, "family-info": {"cpu-of-kind": [12], "width-by-class": [4]},
         "classes": [{"aim": 800000000, "give-up": 4000000000, "semantics": "safe", "bound-to": [0]}]})";
 
-TEST(Wire, ReadsAnArrivalAfterItsContext) {
+TEST(Wire, ReadsARequestArrivalAfterItsInstanceRecord) {
   const auto body =
       hex("8203000000"
           "1ec4913a5d0000"
@@ -60,7 +60,7 @@
   EXPECT_EQ(*arrival.estimated_work, std::chrono::milliseconds(12));
 }
 
-TEST(Wire, ReadsListsAndTheirRows) {
+TEST(Wire, ReadsEndpointListsAndTheirEntries) {
   const auto body =
       hex("7802000000"
           "02000000"
@@ -93,7 +93,7 @@
   EXPECT_EQ(list.endpoints[1].state, EndpointState::draining);
 }
 
-TEST(Wire, ReadsAnOutcomeWithItsCost) {
+TEST(Wire, ReadsAFinishedAttemptWithItsWorkAndMemory) {
   const auto body =
       hex("8203000000"
           "32c4913a5d"
@@ -113,7 +113,7 @@
   EXPECT_EQ(outcome.memory_mb, 4.0 * 0x060);
 }
 
-TEST(Wire, EveryTruncationOfARecordIsRefused) {
+TEST(Wire, RejectsEveryTruncationOfARecord) {
   const auto body =
       hex("8203000000"
           "32c4913a5d"
@@ -131,35 +131,35 @@
   }
 }
 
-TEST(Wire, RefusesWhatItDoesNotKnow) {
+TEST(Wire, RejectsMalformedBatchesAndFrames) {
   const auto expect_rejected = [](std::uint32_t records, const std::string& text) {
     BatchReader reader;
     EXPECT_THROW((void)reader.read(batch(records, hex(text))), Malformed) << text;
   };
   expect_rejected(2,
                   "8203000000"
-                  "07");             // event code
-  expect_rejected(1, "4600000000");  // no context
+                  "07");             // unknown event code
+  expect_rejected(1, "4600000000");  // no instance record before the event
   expect_rejected(1,
                   "7810000000"
-                  "00000000");  // list number
+                  "00000000");  // list number out of range
   expect_rejected(2,
                   "8203000000"
                   "14"
                   "01"
                   "05000000"
-                  "00000000");  // a list never told
+                  "00000000");  // reference to a list that was never sent
   expect_rejected(1,
                   "7800000000"
-                  "ffffffff");  // absurd count
+                  "ffffffff");  // count exceeds the frame
   expect_rejected(1,
                   "8203000000"
-                  "00");  // bytes left over
+                  "00");  // bytes after the last record
   expect_rejected(2,
                   "8203000000"
                   "0a"
                   "0000000000000000"
-                  "ffffffff");  // settings past the frame
+                  "ffffffff");  // settings exceed the frame
   BatchReader reader;
   Frame cut = batch(0, {});
   cut.pop_back();
@@ -168,7 +168,7 @@
   EXPECT_THROW((void)frame_length(hex("0300")), Malformed);
 }
 
-TEST(Wire, WritesWhatThePageShows) {
+TEST(Wire, WritesAReplyInTheProtocolsFormat) {
   ReplyWriter writer;
   writer.instance(3);
   writer.action(StartAttempt{0x5d3a91c4, 0x03124a07, Time(0x01fa2d7390)});
@@ -181,7 +181,7 @@
                                    "074a1203"));
 }
 
-TEST(SettingsText, UnknownKeysAreIgnoredAndTheRestIsRead) {
+TEST(SettingsText, IgnoresUnknownKeysAndReadsTheRest) {
   const auto settings = parse_settings(kSettings);
   EXPECT_EQ(settings.router_count, 3U);
   EXPECT_EQ(settings.machine_types[0].cores, 12);
@@ -191,7 +191,7 @@
   EXPECT_FALSE(settings.retry_budget.has_value());
 }
 
-TEST(SettingsText, BadOnesAreRefusedByName) {
+TEST(SettingsText, RejectsInvalidSettingsByName) {
   EXPECT_THROW((void)parse_settings("{"), Malformed);
   EXPECT_THROW((void)parse_settings("[]"), Malformed);
   std::string text = kSettings;
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -5,11 +5,10 @@
 namespace heronwell::test {
 namespace {
 
-// Answers were lost all over the fleet, with a connection reset each. Every engine was taken to have
-// restarted, and got work by slow start only. One heard again at once has not restarted.
-TEST(BrokenConnection, AnEngineHeardSoonAfterAResetHasNotRestarted) {
-  for (const Time response_delay :
-       {5ms, 900ms}) {  // no answer for so long: the process may have ended meanwhile
+// Answers are lost across the fleet, each with a connection reset. If every reset counted as a restart, all
+// engines would go through slow start. An engine that responds soon after a reset has not restarted.
+TEST(BrokenConnection, DoesNotStartSlowStartIfTheEngineRespondsSoonAfterAReset) {
+  for (const Time response_delay : {5ms, 900ms}) {  // after 900 ms the process may have restarted
     Settings settings = basic_settings();
     settings.router_count = 40;
     settings.health_checks_enabled = true;
@@ -27,7 +26,7 @@
     const auto is_check = [](const Action& action) {
       return std::holds_alternative<StartHealthCheck>(action);
     };
-    EXPECT_TRUE(std::ranges::any_of(actions, is_check)) << "checked at once";
+    EXPECT_TRUE(std::ranges::any_of(actions, is_check)) << "expected a health check at once";
     driver.run_until(driver.now + response_delay);
     HealthCheckResult check;
     check.engine = 7;
@@ -40,9 +39,10 @@
   }
 }
 
-// An engine's process ends and restarts before any endpoint list says so. Forty routers see a broken
-// connection each; if all tried it again at once they would overload it. They take it to be warming up.
-TEST(BrokenConnection, AnEngineThatBreaksConnectionsIsWarmingUpForAllRouters) {
+// An engine's process ends and restarts before any endpoint list shows it. Each of forty routers sees a
+// broken connection. If all of them tried the engine again at once, they would overload it. They treat
+// it as warming up.
+TEST(BrokenConnection, StartsSlowStartOfTheEngineAtAllRouters) {
   for (const auto result : {AttemptResult::not_connected, AttemptResult::reset}) {
     int routers_that_tried = 0, early_attempts = 0;
     for (unsigned i = 0; i < 40; ++i) {
@@ -62,15 +62,16 @@
       for (std::size_t n = 1; n < driver.started.size(); ++n)
         early_attempts += driver.now < failed_at + 3s ? 1 : 0;
     }
-    EXPECT_LT(routers_that_tried, 20) << "forty at once would overload a new process";
+    EXPECT_LT(routers_that_tried, 20)
+        << "expected fewer than half of the routers: all forty would overload a new process";
     EXPECT_GT(routers_that_tried, 0);
     EXPECT_LT(early_attempts, 20);
   }
 }
 
-// What overloads a warming engine is work, and one query may be many times the usual. A large one is charged
-// its own work, and waits.
-TEST(Admission, AWarmingEngineIsChargedAQuerysOwnWork) {
+// The work of queries overloads an engine that is warming up, and one query may need many times the usual
+// work. A large query is charged its own work, and waits.
+TEST(Admission, ChargesALargeQueryItsOwnWorkWhileAnEngineIsWarmingUp) {
   for (const Time work : {100ms, 2000ms}) {
     Settings settings = basic_settings();
     settings.classes.resize(1);
@@ -93,15 +94,17 @@
   }
 }
 
-// Small queries were charged less than the rule counts, and the class's work was learnt from what was served
-// while large ones were rejected: a warming engine got 4.5 times what it could do.
-TEST(Admission, SmallQueriesAreChargedTheirClasssUsualWork) {
+// Large queries are rejected, so the class's work is learnt from the small ones that are served. If small
+// queries were charged less than the class's usual work, an engine that is warming up would get 4.5 times the
+// work that it can do.
+TEST(Admission, ChargesSmallQueriesTheUsualWorkOfTheirClass) {
   Settings settings = basic_settings();
   settings.classes.resize(1);
   settings.router_count = 20;
   DecisionDriver driver(settings);
   driver.update_endpoints({endpoint(7)});
-  const auto send = [&driver](RequestId id) {  // one in five is large, and is never served; 100 ms on average
+  // One query in five is large and is never served; the mean work is 100 ms.
+  const auto send = [&driver](RequestId id) {
     const Time work = id % 5 == 0 ? 400ms : 25ms;
     driver.handle(driver.now, {estimated_request(id, work)});
     if (driver.attempts_of(id) == 0) return driver.handle(driver.now, {ClientDisconnected{id}});
@@ -118,18 +121,18 @@
     driver.run_until(driver.now + 5ms);
     send(id);
   }
-  // A twentieth of 0.8 x 2.5 x 0.4 to 1 x 0.85 x 4 core-seconds a second, for ten seconds, is 2.4; half more
-  // by chance.
+  // The limit in core-seconds per second is 0.8 x 2.5 x capacity x 0.85 x 4, with a capacity that rises from
+  // 0.4 to 1. A twentieth of it for ten seconds is 2.4; chance may add half of that.
   EXPECT_LE(driver.attempts_at(8) * 0.1, 3.6);
   EXPECT_GT(driver.attempts_at(8), 0);
 }
 
-// By the number of routers.
+// The parameter is the number of routers.
 class SlowStartByMany : public ::testing::TestWithParam<unsigned> {};
 
-// An engine has just started, and many routers, busy and quiet ones mixed, all want to use it. Together they
-// stay under the work that overloads it in every window, but do not leave it idle.
-TEST_P(SlowStartByMany, AllRoutersTogetherStayUnderTheOverloadAndTheEngineGetsWork) {
+// An engine has just started, and many routers with high and low request rates use it. In every window, all
+// routers together send less work than overloads it, but they do not leave it idle.
+TEST_P(SlowStartByMany, AllRoutersTogetherSendLessThanTheOverloadButDoNotLeaveTheEngineIdle) {
   Settings settings = basic_settings();
   settings.router_count = GetParam();
   std::vector<DecisionDriver> routers;
@@ -140,7 +143,7 @@
     warming.last_started = routers.back().now - 1s;
     routers.back().update_endpoints({warming});
   }
-  std::map<Time, double> work;  // core-seconds by the first estimate: half the objective on one thread
+  std::map<Time, double> work;  // core-seconds by the initial estimate: half the objective on one thread
   RequestId id = 0;
   for (int step = 0; step < 300; ++step) {
     for (unsigned i = 0; i < settings.router_count; ++i) {
@@ -165,12 +168,12 @@
     EXPECT_LE(sum, 2.5 * capacity * 0.85 * 4 * 2);
     total_work += work[from];
   }
-  EXPECT_GT(total_work, 2) << "it is not left idle either";
+  EXPECT_GT(total_work, 2) << "expected the engine not to be idle";
 }
 
 INSTANTIATE_TEST_SUITE_P(FewAndMany, SlowStartByMany, ::testing::Values(3U, 60U));
 
-TEST(SlowStart, AWarmEngineIsNotLimited) {
+TEST(SlowStart, DoesNotLimitAnEngineThatIsWarm) {
   Settings settings = basic_settings();
   DecisionDriver driver(settings);
   auto warm = endpoint(7);
