--- a/benchmarks/graphql_bench.cpp
+++ b/benchmarks/graphql_bench.cpp
@@ -10,11 +10,11 @@
 #include "release.hpp"
 
 namespace {
-std::size_t allocated = 0;  // bytes, of all calls
+std::size_t allocated_bytes = 0;  // bytes, of all calls
 }  // namespace
 
 void* operator new(std::size_t size) {
-  allocated += size;
+  allocated_bytes += size;
   if (void* memory = std::malloc(size)) return memory;
   throw std::bad_alloc();
 }
@@ -42,10 +42,10 @@
 }
 
 void run(benchmark::State& state, const std::string& text) {
-  const auto before = allocated;
+  const auto allocated_before = allocated_bytes;
   for (auto _ : state) benchmark::DoNotOptimize(parse(text).definitions.size());
   state.SetBytesProcessed(static_cast<std::int64_t>(state.iterations() * text.size()));
-  state.counters["memory/byte"] = static_cast<double>(allocated - before) /
+  state.counters["memory/byte"] = static_cast<double>(allocated_bytes - allocated_before) /
                                   static_cast<double>(state.iterations()) / static_cast<double>(text.size());
 }
 
--- a/benchmarks/graphql_http_bench.cpp
+++ b/benchmarks/graphql_http_bench.cpp
@@ -11,7 +11,7 @@
 
 #include "daemon/server.hpp"
 #include "http/message.hpp"
-#include "lines.hpp"
+#include "load_generator.hpp"
 #include "rehearsal/process.hpp"
 #include "release.hpp"
 
@@ -46,23 +46,23 @@
   return out;
 }
 
-std::string groups_of(const Variant& v) {
-  if (v.groups == 0) return "";
+std::string groups_yaml(const Variant& variant) {
+  if (variant.groups == 0) return "";
   std::string text = "groups: {", path;
-  for (unsigned i = 1; i < v.depth; ++i) {
+  for (unsigned i = 1; i < variant.depth; ++i) {
     text += fmt::format("groups: {{level{}: {{", i);
     path += fmt::format("level{}.", i);
   }
   text += "groups: {";
-  for (unsigned i = 0; i < v.groups; ++i) text += fmt::format("{}leaf{}: {{}}", i > 0 ? ", " : "", i);
+  for (unsigned i = 0; i < variant.groups; ++i) text += fmt::format("{}leaf{}: {{}}", i > 0 ? ", " : "", i);
   text += "}";
-  for (unsigned i = 1; i < v.depth; ++i) text += "}}";
+  for (unsigned i = 1; i < variant.depth; ++i) text += "}}";
   return text + fmt::format(", default: {}leaf7}}\n", path);
 }
 
-double median(std::vector<double> all) {
-  std::ranges::sort(all);
-  return all[all.size() / 2];
+double median(std::vector<double> values) {
+  std::ranges::sort(values);
+  return values[values.size() / 2];
 }
 
 }  // namespace
@@ -71,8 +71,8 @@
   if (argc < 2)
     return fmt::print(stderr, "heronwell_graphql_http_bench PROGRAM [pace] [seconds] [rounds]\n"), 2;
   const std::string program = argv[1];
-  const double pace = argc > 2 ? std::stod(argv[2]) : 10'000;
-  const auto length = std::chrono::seconds(argc > 3 ? std::stoul(argv[3]) : 1);
+  const double requests_per_second = argc > 2 ? std::stod(argv[2]) : 10'000;
+  const auto round_length = std::chrono::seconds(argc > 3 ? std::stoul(argv[3]) : 1);
   const auto rounds = argc > 4 ? std::stoul(argv[4]) : 5;
   spdlog::set_level(spdlog::level::off);
   const auto folder = std::filesystem::temp_directory_path() / fmt::format("heronwell-bench-{}", getpid());
@@ -84,18 +84,18 @@
     engines.emplace_back(
         std::vector<std::string>{program, "engine", "--name", fmt::format("e{}", i), "--sessions", "2000"},
         "");
-    list << fmt::format("  - {{name: e{}, port: {}, kind: k}}\n", i, port_of(engines.back().line(5s)));
+    list << fmt::format("  - {{name: e{}, port: {}, kind: k}}\n", i, parse_port(engines.back().line(5s)));
   }
   list.close();
 
-  struct Running {
+  struct RunningRouter {
     std::unique_ptr<daemon::Server> server;
     std::thread thread;
-    std::unique_ptr<Load> load;
+    std::unique_ptr<LoadGenerator> load;
     std::vector<double> cpu, p50, p99;
   };
-  std::vector<Running> all(kVariants.size());
-  for (std::size_t i = 0; i < all.size(); ++i) {
+  std::vector<RunningRouter> routers(kVariants.size());
+  for (std::size_t i = 0; i < routers.size(); ++i) {
     const std::string trace = kVariants[i].trace;
     const auto yaml = fmt::format(
         "listen: {{port: 0}}\nlist: {{file: {}/list.yaml}}\nkinds: {{k: {{cores: 64}}}}\nclasses: {{lookup: "
@@ -103,35 +103,37 @@
         "give_up: 5s}}}}\nengines: {{connections: 200}}\nlog: {{requests: none, level: \"off\"}}\n"
         "graphql: {{sdl: 'type Query {{one(id: ID!): Int @sql(statement: \"select 1, :id\", class: "
         "\"lookup\")}}'}}\n{}{}",
-        folder.string(), groups_of(kVariants[i]),
+        folder.string(), groups_yaml(kVariants[i]),
         trace.empty() ? ""
                       : fmt::format("trace: {{file: {}/trace-{}.jsonl, {}}}\n", folder.string(), i, trace));
-    all[i].server = std::make_unique<daemon::Server>(config::read_config(yaml::Section::text(yaml, "bench")));
+    routers[i].server =
+        std::make_unique<daemon::Server>(config::read_config(yaml::Section::text(yaml, "bench")));
     auto ready = std::make_shared<std::promise<void>>();
-    all[i].thread =
-        std::thread([&one = all[i], ready] { one.server->run([ready] { ready->set_value(); }, 100ms); });
+    routers[i].thread = std::thread(
+        [&router = routers[i], ready] { router.server->run([ready] { ready->set_value(); }, 100ms); });
     ready->get_future().wait();
-    all[i].load =
-        std::make_unique<Load>(std::vector{all[i].server->port()}, false, request(kVariants[i].graphql));
-    all[i].load->capacity(500ms);  // warm
+    routers[i].load = std::make_unique<LoadGenerator>(std::vector{routers[i].server->port()}, false,
+                                                      request(kVariants[i].graphql));
+    routers[i].load->run_at_capacity(500ms);  // warm
   }
   for (std::size_t round = 0; round < rounds; ++round)
-    for (auto& one : all) {
-      const double before = thread_cpu(one.thread.native_handle());
-      const auto took = one.load->pace(pace, length);
-      one.cpu.push_back((thread_cpu(one.thread.native_handle()) - before) / static_cast<double>(took.size()) *
-                        1e6);
-      one.p50.push_back(at(took, 0.5));
-      one.p99.push_back(at(took, 0.99));
+    for (auto& router : routers) {
+      const double cpu_before = thread_cpu_seconds(router.thread.native_handle());
+      const auto latencies = router.load->run_at_rate(requests_per_second, round_length);
+      router.cpu.push_back((thread_cpu_seconds(router.thread.native_handle()) - cpu_before) /
+                           static_cast<double>(latencies.size()) * 1e6);
+      router.p50.push_back(quantile_us(latencies, 0.5));
+      router.p99.push_back(quantile_us(latencies, 0.99));
     }
-  fmt::print("at {:.0f} requests a second, medians of {} rounds\n{:<36}{:>10}{:>12}{:>10}{:>10}\n", pace,
-             rounds, "", "CPU, us", "against v1", "p50, us", "p99, us");
-  for (std::size_t i = 0; i < all.size(); ++i)
-    fmt::print("{:<36}{:>10.1f}{:>12.2f}{:>10.1f}{:>10.1f}\n", kVariants[i].name, median(all[i].cpu),
-               median(all[i].cpu) / median(all[0].cpu), median(all[i].p50), median(all[i].p99));
-  for (auto& one : all) {
-    one.server->stop(0s);
-    one.thread.join();
+  fmt::print("at {:.0f} requests a second, medians of {} rounds\n{:<36}{:>10}{:>12}{:>10}{:>10}\n",
+             requests_per_second, rounds, "", "CPU, us", "against v1", "p50, us", "p99, us");
+  for (std::size_t i = 0; i < routers.size(); ++i)
+    fmt::print("{:<36}{:>10.1f}{:>12.2f}{:>10.1f}{:>10.1f}\n", kVariants[i].name, median(routers[i].cpu),
+               median(routers[i].cpu) / median(routers[0].cpu), median(routers[i].p50),
+               median(routers[i].p99));
+  for (auto& router : routers) {
+    router.server->stop(0s);
+    router.thread.join();
   }
   std::filesystem::remove_all(folder);
   return 0;
--- a/benchmarks/groups_bench.cpp
+++ b/benchmarks/groups_bench.cpp
@@ -24,40 +24,40 @@
 void request(benchmark::State& state) {
   const auto leaves = static_cast<std::size_t>(state.range(0)),
              depth = static_cast<std::size_t>(state.range(1)),
-             waiting = static_cast<std::size_t>(state.range(2));
+             waiting_groups = static_cast<std::size_t>(state.range(2));
   auto section = yaml::Section::text(tree_of(leaves, depth), "tree");
   groups::Shares shares(groups::Tree::read(section), {{1, false}, {4, false}}, {});
-  std::string above;
-  for (std::size_t i = 1; i < depth; ++i) above += fmt::format("level{}.", i);
+  std::string path_prefix;
+  for (std::size_t i = 1; i < depth; ++i) path_prefix += fmt::format("level{}.", i);
   std::vector<std::string> paths;
-  paths.reserve(waiting);
-  for (std::size_t i = 0; i < waiting; ++i)
-    paths.push_back(fmt::format("{}leaf{}", above, i * (leaves / waiting)));
+  paths.reserve(waiting_groups);
+  for (std::size_t i = 0; i < waiting_groups; ++i)
+    paths.push_back(fmt::format("{}leaf{}", path_prefix, i * (leaves / waiting_groups)));
   Time now{1};
-  RequestId ids = 0;
+  RequestId last_id = 0;
   std::size_t next = 0;
   std::map<RequestId, std::size_t> const out;
   shares.at(now, 64);
-  for (std::size_t i = 0; i < 2 * waiting; ++i)
-    (void)shares.enter(++ids, paths[i % waiting], false, {0, 0, {}});
+  for (std::size_t i = 0; i < 2 * waiting_groups; ++i)
+    (void)shares.enter(++last_id, paths[i % waiting_groups], false, {0, 0, {}});
   std::vector<RequestId> running(32);
   for (auto _ : state) {
     now += std::chrono::microseconds(20);
     shares.at(now, 64);
-    (void)shares.enter(++ids, paths[next++ % waiting], false, {0, 0, {}});
-    const auto& turn = shares.next_requests(0);
-    if (turn.empty()) {
+    (void)shares.enter(++last_id, paths[next++ % waiting_groups], false, {0, 0, {}});
+    const auto& may_start = shares.next_requests(0);
+    if (may_start.empty()) {
       state.SkipWithError("nobody in turn");
       break;
     }
-    const auto id = turn.front();
+    const auto id = may_start.front();
     shares.attempt_started(id);
-    auto& slot = running[ids % running.size()];
-    if (slot != 0) {
-      shares.ended(slot, 0, true);
-      shares.settled(slot);
+    auto& previous = running[last_id % running.size()];
+    if (previous != 0) {
+      shares.ended(previous, 0, true);
+      shares.settled(previous);
     }
-    slot = id;
+    previous = id;
   }
 }
 BENCHMARK(request)
@@ -79,10 +79,10 @@
   text += "  - {class: lookup, group: g}\n";
   auto section = yaml::Section::text(text, "selectors");
   const auto selectors = groups::Selectors::read(section);
-  groups::Described asked;
-  asked.cls = "lookup";
-  asked.header = [](std::string_view) { return std::optional<std::string>("other-thing"); };
-  for (auto _ : state) benchmark::DoNotOptimize(selectors.choose(asked));
+  groups::Described described;
+  described.cls = "lookup";
+  described.header = [](std::string_view) { return std::optional<std::string>("other-thing"); };
+  for (auto _ : state) benchmark::DoNotOptimize(selectors.choose(described));
 }
 BENCHMARK(choose)->Arg(1)->Arg(50);
 
--- a/benchmarks/router_bench.cpp
+++ b/benchmarks/router_bench.cpp
@@ -25,7 +25,7 @@
 
 #include "daemon/server.hpp"
 #include "http/message.hpp"
-#include "lines.hpp"
+#include "load_generator.hpp"
 #include "rehearsal/process.hpp"
 #include "release.hpp"
 #include "sql/protocol.hpp"
@@ -60,11 +60,11 @@
   return out;
 }
 
-std::size_t resident(pid_t process) {
+std::size_t resident_bytes(pid_t process) {
   std::ifstream file(fmt::format("/proc/{}/statm", process));
-  std::size_t all = 0, pages = 0;
-  file >> all >> pages;
-  return pages * 4096;
+  std::size_t total_pages = 0, resident_pages = 0;
+  file >> total_pages >> resident_pages;
+  return resident_pages * 4096;
 }
 
 }  // namespace
@@ -72,9 +72,9 @@
 int main(int argc, char** argv) {
   if (argc < 2) return fmt::print(stderr, "heronwell_router_bench PROGRAM [pace] [seconds] [long run]\n"), 2;
   const std::string program = argv[1];
-  const double pace = argc > 2 ? std::stod(argv[2]) : 20'000;
+  const double requests_per_second = argc > 2 ? std::stod(argv[2]) : 20'000;
   const auto length = std::chrono::seconds(argc > 3 ? std::stoul(argv[3]) : 5);
-  const auto longer = argc > 4 ? std::stoull(argv[4]) : 500'000ULL;
+  const auto long_run_requests = argc > 4 ? std::stoull(argv[4]) : 500'000ULL;
   spdlog::set_level(spdlog::level::off);
   rlimit limit{};
   getrlimit(RLIMIT_NOFILE, &limit);
@@ -91,7 +91,7 @@
     engines.emplace_back(
         std::vector<std::string>{program, "engine", "--name", fmt::format("e{}", i), "--sessions", "1000"},
         "");
-    ports.push_back(port_of(engines.back().line(5s)));
+    ports.push_back(parse_port(engines.back().line(5s)));
     list << fmt::format("  - {{name: e{}, port: {}, kind: k}}\n", i, ports.back());
   }
   list.close();
@@ -111,56 +111,61 @@
   ready.get_future().wait();
 
   fmt::print("{:<34}{:>14}{:>14}\n", "", "through", "straight");
-  Load through({server.port()}, false, http_request()), straight(ports, true, sql_request());
-  through.capacity(1s);
-  straight.capacity(1s);  // warm
-  const double c1 = through.capacity(length), c2 = straight.capacity(length);
-  fmt::print("{:<34}{:>14.0f}{:>14.0f}\n", "requests a second at most", c1, c2);
-  const double cpu = thread_cpu(router.native_handle());
-  const auto before = *router_allocations.load();
-  const auto with = through.pace(pace, length);
-  const double used = thread_cpu(router.native_handle()) - cpu;
-  const auto made = *router_allocations.load() - before;
-  const auto without = straight.pace(pace, length);
-  fmt::print("at {:.0f} requests a second\n", pace);
-  for (const auto& [name, part] : {std::pair{"  p50, us", 0.5}, {"  p99, us", 0.99}, {"  p99.9, us", 0.999}})
-    fmt::print("{:<34}{:>14.1f}{:>14.1f}   added {:.1f}\n", name, at(with, part), at(without, part),
-               at(with, part) - at(without, part));
+  LoadGenerator via_router({server.port()}, false, http_request()), direct(ports, true, sql_request());
+  via_router.run_at_capacity(1s);
+  direct.run_at_capacity(1s);  // warm
+  const double via_router_rate = via_router.run_at_capacity(length),
+               direct_rate = direct.run_at_capacity(length);
+  fmt::print("{:<34}{:>14.0f}{:>14.0f}\n", "requests a second at most", via_router_rate, direct_rate);
+  const double cpu_before = thread_cpu_seconds(router.native_handle());
+  const auto allocations_before = *router_allocations.load();
+  const auto via_router_latencies = via_router.run_at_rate(requests_per_second, length);
+  const double cpu_seconds = thread_cpu_seconds(router.native_handle()) - cpu_before;
+  const auto allocations_made = *router_allocations.load() - allocations_before;
+  const auto direct_latencies = direct.run_at_rate(requests_per_second, length);
+  fmt::print("at {:.0f} requests a second\n", requests_per_second);
+  for (const auto& [name, quantile] :
+       {std::pair{"  p50, us", 0.5}, {"  p99, us", 0.99}, {"  p99.9, us", 0.999}})
+    fmt::print("{:<34}{:>14.1f}{:>14.1f}   added {:.1f}\n", name, quantile_us(via_router_latencies, quantile),
+               quantile_us(direct_latencies, quantile),
+               quantile_us(via_router_latencies, quantile) - quantile_us(direct_latencies, quantile));
   fmt::print("{:<34}{:>14.2f}\n", "  router CPU a request, us",
-             used / static_cast<double>(with.size()) * 1e6);
+             cpu_seconds / static_cast<double>(via_router_latencies.size()) * 1e6);
   fmt::print("{:<34}{:>14.1f}\n", "  allocations a request",
-             static_cast<double>(made) / static_cast<double>(with.size()));
+             static_cast<double>(allocations_made) / static_cast<double>(via_router_latencies.size()));
   server.stop(0s);
   router.join();
 
-  rehearsal::Process alone({program, "serve", "--config", (folder / "router.yaml").string()}, "");
-  const auto port = port_of(alone.line(5s));
+  rehearsal::Process router_process({program, "serve", "--config", (folder / "router.yaml").string()}, "");
+  const auto port = parse_port(router_process.line(5s));
   std::this_thread::sleep_for(300ms);
-  const auto idle = std::min<std::size_t>(10'000, limit.rlim_cur - 200);
+  const auto idle_connections = std::min<std::size_t>(10'000, limit.rlim_cur - 200);
   {
-    const auto empty = resident(alone.id());
+    const auto resident_before = resident_bytes(router_process.id());
     asio::io_context context;
     std::vector<asio::ip::tcp::socket> sockets;
-    for (std::size_t i = 0; i < idle; ++i) {
+    for (std::size_t i = 0; i < idle_connections; ++i) {
       sockets.emplace_back(context);
       sockets.back().connect({asio::ip::make_address("127.0.0.1"), port});
     }
     std::this_thread::sleep_for(500ms);
     fmt::print("{:<34}{:>14.2f}   of {} connections\n", "KiB an idle connection",
-               static_cast<double>(resident(alone.id()) - empty) / 1024.0 / static_cast<double>(idle), idle);
+               static_cast<double>(resident_bytes(router_process.id()) - resident_before) / 1024.0 /
+                   static_cast<double>(idle_connections),
+               idle_connections);
   }
   std::this_thread::sleep_for(500ms);
-  Load long_run({port}, false, http_request());
+  LoadGenerator long_run({port}, false, http_request());
   std::uint64_t sent = 0;
-  std::size_t first = 0;
-  while (sent < longer) {
-    long_run.capacity(1s);
-    sent += long_run.done();
-    if (first == 0) first = resident(alone.id());
+  std::size_t first_resident = 0;
+  while (sent < long_run_requests) {
+    long_run.run_at_capacity(1s);
+    sent += long_run.completed();
+    if (first_resident == 0) first_resident = resident_bytes(router_process.id());
   }
   fmt::print("{:<34}{:>14.1f}{:>14.1f}   over {} requests\n", "MiB resident, first and last",
-             static_cast<double>(first) / (1 << 20), static_cast<double>(resident(alone.id())) / (1 << 20),
-             sent);
+             static_cast<double>(first_resident) / (1 << 20),
+             static_cast<double>(resident_bytes(router_process.id())) / (1 << 20), sent);
   std::filesystem::remove_all(folder);
   return 0;
 }
--- a/fuzz/execute_fuzz.cpp
+++ b/fuzz/execute_fuzz.cpp
@@ -12,7 +12,7 @@
 using namespace heronwell::graphql;
 
 const Bound& bound() {
-  static const Bound one(R"(
+  static const Bound instance(R"(
     enum E { R G }
     scalar Any
     input I { x: I y: Int! = 3 l: [ID!] }
@@ -26,13 +26,13 @@
       u: [U!]! @sql(statement: "u" class: "q") n: N @sql(statement: "n" class: "q") i: Int! @sql(statement: "i" class: "q")
       k: [Int] @sql(statement: "k" class: "q") }
     type Mutation { m(x: ID): Int @sql(statement: "m :x" class: "w") o: T! @sql(statement: "o" class: "w") })",
-                         {{"q", true, false, std::chrono::milliseconds(10)},
-                          {"w", false, false, std::chrono::milliseconds(10)}});
-  return one;
+                              {{"q", true, false, std::chrono::milliseconds(10)},
+                               {"w", false, false, std::chrono::milliseconds(10)}});
+  return instance;
 }
 
 // Deals out the input's bytes; zeros once they are over.
-struct Dealer {
+struct InputBytes {
   std::string_view rest;
   unsigned next(unsigned below) {
     if (rest.empty()) return 0;
@@ -42,49 +42,49 @@
   }
 };
 
-Reply reply(Dealer& dealer) {
+Reply make_reply(InputBytes& input) {
   static const char* const kColumns[] = {"s", "i", "f", "b", "e", "a", "l", "__typename"};
   static const char* const kCells[] = {
       "1",      "R",   "T",           "O",      "t", "{1,2}",      "{\"a\\\"\",NULL,{",
       "-1.5e3", "NaN", "99999999999", "\xff\"", "",  "{\"k\":[1]}"};
   static const std::uint32_t kTypes[] = {25, 23, 16, 114, 701};
-  Reply made;
-  if (dealer.next(6) == 1) {
-    auto& trouble = made.trouble.emplace();
+  Reply reply;
+  if (input.next(6) == 1) {
+    auto& trouble = reply.trouble.emplace();
     trouble.code = "STATEMENT_FAILED";
     trouble.outcome = "failed";
-    trouble.may_have_run = dealer.next(2) == 1;
-    return made;
+    trouble.may_have_run = input.next(2) == 1;
+    return reply;
   }
   auto table = std::make_shared<sql::Table>();
-  table->command = dealer.next(2) == 1 ? "INSERT 0 2" : "x";
-  for (auto n = dealer.next(9); n > 0; --n)
-    table->columns.push_back({kColumns[dealer.next(8)], kTypes[dealer.next(5)]});
-  for (auto n = dealer.next(5); n > 0; --n) {
+  table->command = input.next(2) == 1 ? "INSERT 0 2" : "x";
+  for (auto n = input.next(9); n > 0; --n)
+    table->columns.push_back({kColumns[input.next(8)], kTypes[input.next(5)]});
+  for (auto n = input.next(5); n > 0; --n) {
     std::vector<sql::Value> values;
     for (std::size_t c = 0; c < table->columns.size(); ++c) {
-      const auto cell = dealer.next(14);
+      const auto cell = input.next(14);
       values.push_back(cell == 13 ? sql::Value{} : sql::Value(kCells[cell]));
     }
     std::string bytes;
     sql::put_row(bytes, values);
     if (!table->add(sql::RowReader(std::string_view(bytes).substr(5)))) std::abort();
   }
-  made.table = table;
-  return made;
+  reply.table = table;
+  return reply;
 }
 
 }  // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  const auto cut = bytes.find('\0');
-  Dealer dealer{cut == std::string_view::npos ? std::string_view{} : bytes.substr(cut + 1)};
+  const auto separator = bytes.find('\0');
+  InputBytes input{separator == std::string_view::npos ? std::string_view{} : bytes.substr(separator + 1)};
   Limits limits;
   limits.spread = 300;
   Document document;
   try {
-    document = parse(bytes.substr(0, cut), limits);
+    document = parse(bytes.substr(0, separator), limits);
     if (!validate(bound().schema(), document, limits).empty()) return 0;
   } catch (const Error&) {
     return 0;
@@ -98,26 +98,27 @@
     asked.deadline = std::chrono::seconds(10);
     asked.hash = [](const std::string& text) { return text.size(); };
     Bounds bounds;
-    bounds.parallel = 1 + dealer.next(4);
-    bounds.parents = 1 + dealer.next(4);
+    bounds.parallel = 1 + input.next(4);
+    bounds.parents = 1 + input.next(4);
     bounds.answer = 20'000;
     bounds.errors = 5;
     Execution execution(bound(), document, operation, std::move(asked), bounds);
-    std::vector<Call> out, more;
-    execution.start({}, out);
-    bool unknown = false;
-    for (std::size_t steps = 0; !out.empty(); ++steps) {
-      if (steps > 100'000 || out.size() > bounds.parallel) std::abort();
-      const auto at = out.begin() + dealer.next(static_cast<unsigned>(out.size()));
+    std::vector<Call> calls, started_calls;
+    execution.start({}, calls);
+    bool mutation_may_have_run = false;
+    for (std::size_t steps = 0; !calls.empty(); ++steps) {
+      if (steps > 100'000 || calls.size() > bounds.parallel) std::abort();
+      const auto at = calls.begin() + input.next(static_cast<unsigned>(calls.size()));
       const auto call = std::move(*at);
-      out.erase(at);
+      calls.erase(at);
       const bool writes = call.cls == 1;
-      if (writes && unknown) std::abort();
-      auto answer = reply(dealer);
-      unknown = unknown || (writes && answer.trouble && answer.trouble->may_have_run);
-      execution.ended({}, call.id, std::move(answer), more);
-      for (auto& one : more) out.push_back(std::move(one));
-      more.clear();
+      if (writes && mutation_may_have_run) std::abort();
+      auto reply = make_reply(input);
+      mutation_may_have_run =
+          mutation_may_have_run || (writes && reply.trouble && reply.trouble->may_have_run);
+      execution.ended({}, call.id, std::move(reply), started_calls);
+      for (auto& started : started_calls) calls.push_back(std::move(started));
+      started_calls.clear();
     }
     if (!execution.done()) std::abort();
     const auto response = execution.response();
--- a/fuzz/platform_fuzz.cpp
+++ b/fuzz/platform_fuzz.cpp
@@ -16,23 +16,25 @@
 
 using namespace heronwell;
 
-void frames_of(std::string_view in) {
-  using What = frames::DecodeResult::Status;
-  const auto whole = frames::decode(in);
-  if (whole.consumed_bytes > in.size() || (whole.status == What::frame) != (whole.consumed_bytes > 0))
+void check_frames(std::string_view in) {
+  using Status = frames::DecodeResult::Status;
+  const auto complete = frames::decode(in);
+  if (complete.consumed_bytes > in.size() ||
+      (complete.status == Status::frame) != (complete.consumed_bytes > 0))
     std::abort();
   for (std::size_t cut = 0; cut < in.size(); ++cut) {
-    const auto part = frames::decode(in.substr(0, cut));
-    if (part.status == What::error && whole.status != What::error) std::abort();
-    if (part.status == What::frame && part.consumed_bytes != whole.consumed_bytes) std::abort();
+    const auto truncated = frames::decode(in.substr(0, cut));
+    if (truncated.status == Status::error && complete.status != Status::error) std::abort();
+    if (truncated.status == Status::frame && truncated.consumed_bytes != complete.consumed_bytes)
+      std::abort();
   }
   frames::Request request;
-  if (whole.status != What::frame || whole.frame.type != frames::FrameType::request) return;
-  if (!frames::read_request(whole.frame, request) && (request.id.size() != 16 || request.timeout_ms == 0))
+  if (complete.status != Status::frame || complete.frame.type != frames::FrameType::request) return;
+  if (!frames::read_request(complete.frame, request) && (request.id.size() != 16 || request.timeout_ms == 0))
     std::abort();
 }
 
-void calls_of(std::string_view in) {
+void check_calls(std::string_view in) {
   http::Parser parser(http::Role::response);
   std::string body;
   while (true) {
@@ -41,17 +43,18 @@
     in.remove_prefix(step.consumed);
     if (step.event == http::Parser::Event::error || step.event == http::Parser::Event::need_more) return;
     if (step.event != http::Parser::Event::end) continue;
-    const auto news = calls::read_status(parser, body);
-    if (news.state == calls::QueryStatus::State::complete &&
-        (news.page_count == 0 || !calls::rows_well_formed(body)))
+    const auto query_status = calls::read_status(parser, body);
+    if (query_status.state == calls::QueryStatus::State::complete &&
+        (query_status.page_count == 0 || !calls::rows_well_formed(body)))
       std::abort();
-    for (const auto figure : calls::read_load_report(parser, {LoadField::in_flight, LoadField::utilization}))
-      if (!(figure >= 0)) std::abort();
+    for (const auto load_value :
+         calls::read_load_report(parser, {LoadField::in_flight, LoadField::utilization}))
+      if (!(load_value >= 0)) std::abort();
     body.clear();
   }
 }
 
-void bus_of(std::string_view in) {
+void check_bus_events(std::string_view in) {
   bus::EndpointEventReader events;
   try {
     (void)events.apply(in);
@@ -67,13 +70,13 @@
   const std::string bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
   switch (data[0] % 4) {
     case 0:
-      frames_of(bytes);
+      check_frames(bytes);
       break;
     case 1:
-      calls_of(bytes);
+      check_calls(bytes);
       break;
     case 2:
-      bus_of(bytes);
+      check_bus_events(bytes);
       break;
     default:
       (void)sql::table_group(bytes);
--- a/fuzz/sql_fuzz.cpp
+++ b/fuzz/sql_fuzz.cpp
@@ -11,7 +11,7 @@
 
 using namespace heronwell;
 
-struct Log : sql::SessionEvents {
+struct EventLog : sql::SessionEvents {
   void on_columns(const std::vector<sql::Column>& columns) override { rows.columns(text, columns); }
   void on_row(sql::RowReader row) override { text += rows.row(text, row) ? "+" : "-"; }
   void on_complete(std::string_view tag) override { rows.complete(text, tag); }
@@ -27,13 +27,13 @@
   router::JsonRows rows;
 };
 
-std::string told(std::string_view bytes, std::size_t piece) {
-  Log log;
+std::string run_session(std::string_view bytes, std::size_t chunk_size) {
+  EventLog log;
   sql::Session session(4096);
   const bool never = false;
   std::string rest, sent;
-  for (std::size_t at = 0; at < bytes.size(); at += piece) {
-    rest += bytes.substr(at, piece);
+  for (std::size_t offset = 0; offset < bytes.size(); offset += chunk_size) {
+    rest += bytes.substr(offset, chunk_size);
     while (true) {
       const auto used = session.feed(rest, log, never);
       if (used > rest.size() || session.wants() > 4096) std::abort();
@@ -52,8 +52,8 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  (void)told(bytes, std::max<std::size_t>(size, 1));
-  (void)told(bytes, 1);
+  (void)run_session(bytes, std::max<std::size_t>(size, 1));
+  (void)run_session(bytes, 1);
   const auto startup = sql::next_startup(bytes);
   if (startup.state == sql::Frame::State::complete) (void)sql::read_startup(startup.message.payload);
   (void)sql::read_error(bytes);
