--- a/benchmarks/graphql_bench.cpp
+++ b/benchmarks/graphql_bench.cpp
@@ -1,4 +1,5 @@
-// Parsing GraphQL documents: MB/s and time for small, usual and hostile ones, and memory against their size.
+// This benchmark measures the parsing and validation of small, usual and hostile GraphQL documents: time,
+// throughput, and allocated memory per byte of the document.
 #include <benchmark/benchmark.h>
 
 #include <cstdlib>
@@ -10,7 +11,7 @@
 #include "release.hpp"
 
 namespace {
-std::size_t allocated_bytes = 0;  // bytes, of all calls
+std::size_t allocated_bytes = 0;  // sum over all allocations
 }  // namespace
 
 void* operator new(std::size_t size) {
@@ -35,7 +36,7 @@
             "children @include(if: true) { id }\n  }\n";
   return text + "}\nfragment Place on Area {\n  id\n  position { x y level }\n}\n";
 }
-std::string hostile() {  // aliases without end
+std::string hostile() {  // very many aliases
   std::string text = "{";
   for (int i = 0; i < 900; ++i) text += "a" + std::to_string(i) + ":b(c:[[[1]]]) ";
   return text + "}";
@@ -58,14 +59,14 @@
   for (auto _ : state) {
     try {
       benchmark::DoNotOptimize(parse(text).definitions.size());
-    } catch (const Error&) {  // NOLINT(bugprone-empty-catch): the error is what is timed
+    } catch (const Error&) {  // NOLINT(bugprone-empty-catch): the benchmark measures the time to the error
     }
   }
   state.SetBytesProcessed(static_cast<std::int64_t>(state.iterations() * text.size()));
 }
 BENCHMARK(too_deep);
 
-// Validation alone, of a document that is parsed already.
+// Measures the validation of a parsed document, without parsing.
 void validated(benchmark::State& state, const std::string& text) {
   static const Schema schema(
       "enum Kind{SHOP GATE} input Filter{open:Boolean kinds:[Kind]} type Spot{x:Int y:Int level:Int} type "
--- a/benchmarks/graphql_http_bench.cpp
+++ b/benchmarks/graphql_http_bench.cpp
@@ -1,8 +1,9 @@
-// A small look-up by GraphQL against the same statement by /v1/query, and by GraphQL with tracing at several
-// parts, in one run: CPU of the router's thread a request and latency at a steady pace, rounds in turn,
-// medians.
+// This benchmark compares a small query over GraphQL with the same statement over /v1/query, and with
+// tracing at several sampling ratios, in one run. It measures the CPU time of the router's thread per
+// request and the latency at a constant request rate. The variants run in alternating rounds, and the
+// medians over the rounds are printed.
 //
-//   heronwell_graphql_http_bench PROGRAM [pace a second] [seconds a round] [rounds]
+//   heronwell_graphql_http_bench PROGRAM [requests per second] [seconds per round] [rounds]
 #include <spdlog/spdlog.h>
 
 #include <filesystem>
@@ -23,8 +24,8 @@
 struct Variant {
   const char* name = "";
   bool graphql = false;
-  const char* trace = "";          // YAML; empty: off
-  unsigned groups = 0, depth = 1;  // leaves of the tree of resource groups; 0: none
+  const char* trace = "";          // YAML settings; empty: no tracing
+  unsigned groups = 0, depth = 1;  // leaves and depth of the tree of resource groups; 0: no groups
 };
 constexpr std::array<Variant, 8> kVariants{{{"/v1/query", false, ""},
                                             {"/v1/query, 10 groups", false, "", 10},
@@ -69,7 +70,10 @@
 
 int main(int argc, char** argv) {
   if (argc < 2)
-    return fmt::print(stderr, "heronwell_graphql_http_bench PROGRAM [pace] [seconds] [rounds]\n"), 2;
+    return fmt::print(
+               stderr,
+               "heronwell_graphql_http_bench PROGRAM [requests per second] [seconds per round] [rounds]\n"),
+           2;
   const std::string program = argv[1];
   const double requests_per_second = argc > 2 ? std::stod(argv[2]) : 10'000;
   const auto round_length = std::chrono::seconds(argc > 3 ? std::stoul(argv[3]) : 1);
@@ -114,7 +118,7 @@
     ready->get_future().wait();
     routers[i].load = std::make_unique<LoadGenerator>(std::vector{routers[i].server->port()}, false,
                                                       request(kVariants[i].graphql));
-    routers[i].load->run_at_capacity(500ms);  // warm
+    routers[i].load->run_at_capacity(500ms);  // warm-up
   }
   for (std::size_t round = 0; round < rounds; ++round)
     for (auto& router : routers) {
--- a/benchmarks/groups_bench.cpp
+++ b/benchmarks/groups_bench.cpp
@@ -1,5 +1,6 @@
-// What groups cost a request in the decision strand: let in, chosen, sent, ended, forgotten, in trees of 10
-// to 5,000 leaves, one and ten deep, with requests of few or of all groups waiting.
+// This benchmark measures the cost of resource groups per request on the decision thread: admission, choice,
+// start and end of its attempt, and removal. The trees have 10 to 5,000 leaves at depths of one and ten, and
+// requests wait in a few groups or in all of them.
 #include <benchmark/benchmark.h>
 #include <fmt/format.h>
 
@@ -20,7 +21,7 @@
   return text + "}";
 }
 
-// Arguments: leaves, depth, groups whose requests wait.
+// Arguments: number of leaves, depth, number of groups with waiting requests.
 void request(benchmark::State& state) {
   const auto leaves = static_cast<std::size_t>(state.range(0)),
              depth = static_cast<std::size_t>(state.range(1)),
@@ -47,7 +48,7 @@
     (void)shares.enter(++last_id, paths[next++ % waiting_groups], false, {0, 0, {}});
     const auto& may_start = shares.next_requests(0);
     if (may_start.empty()) {
-      state.SkipWithError("nobody in turn");
+      state.SkipWithError("no request may start");
       break;
     }
     const auto id = may_start.front();
@@ -71,7 +72,8 @@
     ->Args({5000, 10, 10})
     ->Args({5000, 10, 5000});
 
-// Choosing a group: 1 rule, and the last of 50 with patterns.
+// Measures the choice of a group with 1 selector, and with 50 of which only the last one, after 49
+// patterns, matches.
 void choose(benchmark::State& state) {
   std::string text = "selectors:\n";
   for (int i = 1; i < state.range(0); ++i)
--- a/benchmarks/groups_options.cpp
+++ b/benchmarks/groups_options.cpp
@@ -1,5 +1,7 @@
-// How a tree of shares may meet the module: the options of docs/groups.md on the same virtual days, with the
-// real host and module and the stand-ins' engine model. Virtual time: the same figures on any machine.
+// This program compares the ways to combine a tree of resource group shares with the decision engine,
+// which docs/groups.md describes, on the same simulated load. It uses the real request registry, the
+// real decision engine and the engine model of the stand-ins. It runs on virtual time, so that the
+// results are the same on any machine.
 //
 //   heronwell_groups_options [seed]
 #include <fmt/format.h>
@@ -24,20 +26,25 @@
 constexpr double kCores = 4;
 constexpr Time kTimeStep = 1ms, kWarmUp = 10s, kMeasuredTime = 40s;
 
+// The compared options: the decision engine without shares; shares as tenant quotas; a queue by shares
+// in front of the request registry; shares as limits on threads; shares as the dispatch order of the
+// request registry.
 enum class Option { decision_engine_only, tenants, front_queue, thread_limit, dispatch_order };
 constexpr std::array<const char*, 5> kNames{"module alone", "tenants", "gate before", "thread limit",
                                             "turns"};
 
-struct Stream {  // of requests, of one group
+// A stream of requests of one resource group.
+struct Stream {
   std::string group;
   ClassIndex cls = 0;
   double requests_per_s = 0;
-  double work_s = 0;  // mean, of all threads
+  double work_s = 0;  // mean core-seconds of a request, over all its threads
 };
 
+// Sums over the measured time; the maps are by resource group.
 struct Results {
   std::map<std::string, double> engine_s, in_time, requests, hold_s, started;
-  double idle_core_s = 0, total_core_s = 0;  // core-seconds unused while something waited; of all
+  double idle_core_s = 0, total_core_s = 0;  // core-seconds unused while requests waited; all core-seconds
 };
 
 groups::Tree tree() {
@@ -72,7 +79,8 @@
   return s;
 }
 
-// Shares as a limit on the threads that a group has out: the pool divided anew whenever it is asked.
+// Applies shares as a limit on the running threads of each group. Each call of next_requests() divides the
+// pool anew by the threads that the groups want.
 class ThreadLimitOrder final : public DispatchOrder {
  public:
   ThreadLimitOrder() : tree_(tree()) {}
@@ -120,7 +128,7 @@
     auto shares = std::make_unique<groups::Shares>(tree(), kClassFacts, groups::ShareSettings{});
     if (option == Option::front_queue) front_queue_ = std::move(shares);
     if (option == Option::thread_limit) {
-      // The host's own books of attempts need no change for this option: the module alone hears of it.
+      // This option needs no change of the request registry, so the decision engine is used directly.
       decision_engine_.emplace(settings(false), 1, &thread_limit_order_);
     }
     registry_ = std::make_unique<router::RequestRegistry>(
@@ -278,7 +286,8 @@
 
   void run_decisions() {
     if (front_queue_) {
-      // As many as may be out, and one query's threads more, so that the module always has a choice.
+      // Submits the threads of the pool and those of one more query, so that the decision engine always
+      // has a choice.
       front_queue_->at(now_, registry_->decision_engine().pool_threads());
       std::vector<router::Ticket> late;
       for (const auto& [ticket, query] : queries_)
@@ -358,7 +367,7 @@
     if (const auto* answer = std::get_if<router::FinishRequest>(&command)) {
       leave_registry(answer->ticket);
       const auto query = queries_.find(answer->ticket);
-      // Its attempt may still be out: the host asks to stop it.
+      // If an attempt is still in flight, the registry sends a command to stop it.
       if (query != queries_.end() && query->second.attempts == 0) remove_query(answer->ticket);
     }
   }
--- a/benchmarks/load_generator.hpp
+++ b/benchmarks/load_generator.hpp
@@ -1,4 +1,5 @@
-// Clients of the benchmarks: connections with one request out each, as fast as they go or at a steady pace.
+// LoadGenerator is the client of the benchmarks. It sends one request at a time on each of its connections,
+// either as fast as responses arrive or at a constant rate. It is not thread-safe and blocks while it runs.
 #pragma once
 
 #include <fmt/format.h>
@@ -26,7 +27,8 @@
 using Clock = std::chrono::steady_clock;
 constexpr unsigned kConnections = 64;
 
-// One connection with at most one request out; the answer is whole at a fixed number of bytes, learned first.
+// A connection with at most one request in flight. A response is complete when it has the fixed number of
+// bytes that was measured at the start.
 struct Connection {
   explicit Connection(asio::io_context& context) : socket(context) {}
   asio::ip::tcp::socket socket;
@@ -49,7 +51,7 @@
     response_bytes_ = measure_response_bytes(connections_[0]->socket);
   }
 
-  // As many as go, for so long; a second.
+  // Sends as many requests as possible for `length`. Returns the responses per second.
   double run_at_capacity(Clock::duration length) {
     end_ = Clock::now() + length;
     is_paced_ = false;
@@ -59,7 +61,8 @@
     context_.run();
     return static_cast<double>(completed_) / std::chrono::duration<double>(length).count();
   }
-  // At a steady pace; latencies in ns, sorted.
+  // Sends requests at a constant rate for `length`. Returns the latencies in ns, in ascending order, measured
+  // from the time at which each request was due.
   std::vector<std::int64_t> run_at_rate(double requests_per_second, Clock::duration length) {
     latencies_.clear();
     latencies_.reserve(
--- a/benchmarks/release.hpp
+++ b/benchmarks/release.hpp
@@ -1,4 +1,5 @@
-// Figures of a build without optimisation mislead: a benchmark says so and stops.
+// ReleaseOnly ends a benchmark that was built without optimisation with an error, as its results would
+// mislead.
 #pragma once
 
 #include <cstdio>
--- a/benchmarks/router_bench.cpp
+++ b/benchmarks/router_bench.cpp
@@ -1,9 +1,9 @@
-// Through the router against straight to the same stand-in engines, in one run: requests a second, latency at
-// a steady pace (measured from the moment each was due, so that waiting counts), CPU and allocations a
-// request of the router's thread, memory of an idle connection and of a long run. Prints a table;
-// docs/performance.md quotes it.
+// This benchmark compares requests through the router with requests sent directly to the same stand-in
+// engines, in one run. It measures requests per second, latency at a constant rate (from the time at which
+// each request was due, so that waiting counts), CPU time and allocations of the router's thread per request,
+// and memory per idle connection and over a long run. It prints a table that docs/performance.md quotes.
 //
-//   heronwell_router_bench PROGRAM [pace a second] [seconds] [requests of the long run]
+//   heronwell_router_bench PROGRAM [requests per second] [seconds] [requests of the long run]
 #include <fmt/format.h>
 #include <pthread.h>
 #include <spdlog/spdlog.h>
@@ -70,7 +70,11 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  if (argc < 2) return fmt::print(stderr, "heronwell_router_bench PROGRAM [pace] [seconds] [long run]\n"), 2;
+  if (argc < 2)
+    return fmt::print(
+               stderr,
+               "heronwell_router_bench PROGRAM [requests per second] [seconds] [requests of the long run]\n"),
+           2;
   const std::string program = argv[1];
   const double requests_per_second = argc > 2 ? std::stod(argv[2]) : 20'000;
   const auto length = std::chrono::seconds(argc > 3 ? std::stoul(argv[3]) : 5);
@@ -113,7 +117,7 @@
   fmt::print("{:<34}{:>14}{:>14}\n", "", "through", "straight");
   LoadGenerator via_router({server.port()}, false, http_request()), direct(ports, true, sql_request());
   via_router.run_at_capacity(1s);
-  direct.run_at_capacity(1s);  // warm
+  direct.run_at_capacity(1s);  // warm-up
   const double via_router_rate = via_router.run_at_capacity(length),
                direct_rate = direct.run_at_capacity(length);
   fmt::print("{:<34}{:>14.0f}{:>14.0f}\n", "requests a second at most", via_router_rate, direct_rate);
--- a/fuzz/execute_fuzz.cpp
+++ b/fuzz/execute_fuzz.cpp
@@ -1,6 +1,6 @@
-// Execution of any valid document on a stand-in that answers with rows of any shape, or not at all: it ends,
-// the response is JSON within its bound, statements are the schema's own, and a mutation that may have run is
-// the last that was begun.
+// This target executes any valid GraphQL document with replies that hold rows of any shape or an error. It
+// checks that the execution ends, that the number of statements in flight stays within its limit, that the
+// response is JSON within its size limit, and that no mutation starts after one that failed and may have run.
 #include <cstdint>
 #include <cstdlib>
 
@@ -31,7 +31,7 @@
   return instance;
 }
 
-// Deals out the input's bytes; zeros once they are over.
+// Reads the input byte by byte. next() returns a number less than `below`, and 0 after the last byte.
 struct InputBytes {
   std::string_view rest;
   unsigned next(unsigned below) {
--- a/fuzz/front_fuzz.cpp
+++ b/fuzz/front_fuzz.cpp
@@ -1,4 +1,5 @@
-// The plain front: any bytes are a question or a problem that is itself sound.
+// This target parses any bytes as a request of the HTTP interface. It checks that the result is a query with
+// a statement, a valid class and time left, or a problem whose body is a single line.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
--- a/fuzz/graphql_fuzz.cpp
+++ b/fuzz/graphql_fuzz.cpp
@@ -1,5 +1,6 @@
-// GraphQL documents: parsed within bounds or refused with a place in the text; what is printed reads to the
-// same; validation of anything that parses ends, with places in the text.
+// This target parses, prints and validates GraphQL documents. It checks that a document is parsed within the
+// limits or rejected with a position in the text, that a printed document parses to the same document, and
+// that validation of a parsed document ends, with a position in the text for each violation.
 #include <cstdint>
 #include <cstdlib>
 
--- a/fuzz/http_fuzz.cpp
+++ b/fuzz/http_fuzz.cpp
@@ -1,4 +1,5 @@
-// The HTTP parser: no crash, no event past the end, and the same events however the bytes are split.
+// This target tests the HTTP parser. It checks that the parser does not crash, consumes no bytes past the end
+// of its input, and produces the same events however the bytes are split into chunks.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
--- a/fuzz/list_fuzz.cpp
+++ b/fuzz/list_fuzz.cpp
@@ -1,5 +1,5 @@
-// The engine list, from Consul and from YAML: read or refused with a reason; what is read is written to the
-// same.
+// This target reads the endpoint list from Consul and from YAML. It checks that a list is read, or rejected
+// with a reason, and that an update of the endpoint registry has no more endpoints than the list has entries.
 #include <cstdint>
 #include <cstdlib>
 #include <stdexcept>
--- a/fuzz/peers_fuzz.cpp
+++ b/fuzz/peers_fuzz.cpp
@@ -1,4 +1,5 @@
-// Datagrams of other gateways: nothing that was not sealed with the key is ever taken.
+// This target tests gossip datagrams of peer routers. It checks that a datagram that was not sealed with the
+// shared key is never accepted, and that a sealed one is accepted once and then rejected as replayed.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
--- a/fuzz/platform_fuzz.cpp
+++ b/fuzz/platform_fuzz.cpp
@@ -1,6 +1,7 @@
-// The platform's protocols; the first byte says which. Frames: the same however they are split, and never
-// more used than there is. Calls: a page served is sound. The bus: what is refused changes nothing. Groups of
-// tables: any text.
+// This target tests the protocols of the platform; the first byte of the input selects the protocol: frames
+// (a truncated frame gives no other result than the complete one, and no byte past the end is consumed),
+// query calls (a completed page is well formed), the event bus (a rejected event changes nothing), and data
+// groups of tables (any text is accepted).
 #include <cstdint>
 #include <cstdlib>
 #include <stdexcept>
--- a/fuzz/sql_fuzz.cpp
+++ b/fuzz/sql_fuzz.cpp
@@ -1,5 +1,5 @@
-// The PostgreSQL protocol, both sides: no crash, and a session that says the same however the bytes are
-// split.
+// This target tests both sides of the PostgreSQL protocol. It checks that nothing crashes, and that a session
+// consumes no bytes past the end of its input, whether the input arrives at once or byte by byte.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -38,7 +38,7 @@
       const auto used = session.feed(rest, log, never);
       if (used > rest.size() || session.wants() > 4096) std::abort();
       rest.erase(0, used);
-      // The router asks as soon as it may; the answer stands in the bytes already.
+      // Sends a query as soon as the session allows one; the input already contains the answer.
       if (session.reusable() && !rest.empty())
         session.query(sent, {{"work_mem", "1MB"}}, {"select $1", bytes.size() % 2 == 0, {"1"}});
       else
--- a/tests/decision/latency_controller_test.cpp
+++ b/tests/decision/latency_controller_test.cpp
@@ -54,8 +54,8 @@
   const double pool = 20, gain = -0.8 * pool / 10;
   double u = 1, previous_error = 0;
   for (int m = 1; m <= 25; ++m) {
-    driver.handle(driver.now, {AttemptProgress{1, 0, 7, ProgressKind::spill,
-                                               1}});  // a word, so that the engine is not taken for silent
+    // A progress message, so that the engine is not ejected as silent.
+    driver.handle(driver.now, {AttemptProgress{1, 0, 7, ProgressKind::spill, 1}});
     driver.run_until(100s + std::chrono::milliseconds(2000 * m + 19));
     const double wait = m == 1 ? 2.0 / 21 : 2.0 * m;
     const double error = (30 - wait) / 30;
--- a/tests/decision/outlier_detector_test.cpp
+++ b/tests/decision/outlier_detector_test.cpp
@@ -13,7 +13,7 @@
   int attempts_at_faulty = 0;
   for (RequestId id = 1; id <= 60; ++id) {
     const auto from = driver.started.size();
-    driver.request(id, 0, 5s, 0, id);  // of many data groups
+    driver.request(id, 0, 5s, 0, id);  // each request of another data group
     for (auto i = from; i < driver.started.size(); ++i) {
       const auto sent = driver.started[i];
       attempts_at_faulty += sent.engine == 8 ? 1 : 0;
@@ -89,7 +89,7 @@
   const auto send_requests = [&driver](RequestId from, RequestId to, bool is_faulty) {
     for (RequestId id = from; id <= to; ++id) {
       const auto at = driver.started.size();
-      driver.request(id, 0, 5s, 0, id);  // of many data groups
+      driver.request(id, 0, 5s, 0, id);  // each request of another data group
       for (auto i = at; i < driver.started.size(); ++i) {
         const auto sent = driver.started[i];
         const auto attempt = static_cast<AttemptIndex>(driver.attempts_of(sent.request) - 1);
