--- a/benchmarks/groups_bench.cpp
+++ b/benchmarks/groups_bench.cpp
@@ -1,5 +1,6 @@
-// What groups cost a request in the decision strand: let in, chosen, sent, ended, forgotten, in trees of 10
-// to 5,000 leaves, one and ten deep, with requests of few or of all groups waiting.
+// This benchmark measures the cost of resource groups per request on the decision thread: admission, choice,
+// start and end of its attempt, and removal. The trees have 10 to 5,000 leaves at depths of one and ten, and
+// requests wait in a few groups or in all of them.
 #include <benchmark/benchmark.h>
 #include <fmt/format.h>
 
@@ -20,44 +21,44 @@
   return text + "}";
 }
 
-// Arguments: leaves, depth, groups whose requests wait.
+// Arguments: number of leaves, depth, number of groups with waiting requests.
 void request(benchmark::State& state) {
   const auto leaves = static_cast<std::size_t>(state.range(0)),
              depth = static_cast<std::size_t>(state.range(1)),
-             waiting = static_cast<std::size_t>(state.range(2));
+             waiting_groups = static_cast<std::size_t>(state.range(2));
   auto section = yaml::Section::text(tree_of(leaves, depth), "tree");
   groups::Shares shares(groups::Tree::read(section), {{1, false}, {4, false}}, {});
-  std::string above;
-  for (std::size_t i = 1; i < depth; ++i) above += fmt::format("level{}.", i);
+  std::string path_prefix;
+  for (std::size_t i = 1; i < depth; ++i) path_prefix += fmt::format("level{}.", i);
   std::vector<std::string> paths;
-  paths.reserve(waiting);
-  for (std::size_t i = 0; i < waiting; ++i)
-    paths.push_back(fmt::format("{}leaf{}", above, i * (leaves / waiting)));
+  paths.reserve(waiting_groups);
+  for (std::size_t i = 0; i < waiting_groups; ++i)
+    paths.push_back(fmt::format("{}leaf{}", path_prefix, i * (leaves / waiting_groups)));
   Time now{1};
-  RequestId ids = 0;
+  RequestId last_id = 0;
   std::size_t next = 0;
   std::map<RequestId, std::size_t> const out;
   shares.advance_time(now, 64);
-  for (std::size_t i = 0; i < 2 * waiting; ++i)
-    (void)shares.admit(++ids, paths[i % waiting], false, {0, 0, {}});
+  for (std::size_t i = 0; i < 2 * waiting_groups; ++i)
+    (void)shares.admit(++last_id, paths[i % waiting_groups], false, {0, 0, {}});
   std::vector<RequestId> running(32);
   for (auto _ : state) {
     now += std::chrono::microseconds(20);
     shares.advance_time(now, 64);
-    (void)shares.admit(++ids, paths[next++ % waiting], false, {0, 0, {}});
-    const auto& turn = shares.next_requests(0);
-    if (turn.empty()) {
-      state.SkipWithError("nobody in turn");
+    (void)shares.admit(++last_id, paths[next++ % waiting_groups], false, {0, 0, {}});
+    const auto& may_start = shares.next_requests(0);
+    if (may_start.empty()) {
+      state.SkipWithError("no request may start");
       break;
     }
-    const auto id = turn.front();
+    const auto id = may_start.front();
     shares.attempt_started(id);
-    auto& slot = running[ids % running.size()];
-    if (slot != 0) {
-      shares.attempt_ended(slot, 0, true);
-      shares.request_finished(slot);
+    auto& previous = running[last_id % running.size()];
+    if (previous != 0) {
+      shares.attempt_ended(previous, 0, true);
+      shares.request_finished(previous);
     }
-    slot = id;
+    previous = id;
   }
 }
 BENCHMARK(request)
@@ -71,7 +72,8 @@
     ->Args({5000, 10, 10})
     ->Args({5000, 10, 5000});
 
-// Choosing a group: 1 rule, and the last of 50 with patterns.
+// Measures the choice of a group with 1 selector, and with 50 of which only the last one, after 49
+// patterns, matches.
 void choose(benchmark::State& state) {
   std::string text = "selectors:\n";
   for (int i = 1; i < state.range(0); ++i)
@@ -79,10 +81,10 @@
   text += "  - {class: lookup, group: g}\n";
   auto section = yaml::Section::text(text, "selectors");
   const auto selectors = groups::Selectors::read(section);
-  groups::RequestAttributes asked;
-  asked.cls = "lookup";
-  asked.header = [](std::string_view) { return std::optional<std::string>("other-thing"); };
-  for (auto _ : state) benchmark::DoNotOptimize(selectors.choose(asked));
+  groups::RequestAttributes described;
+  described.cls = "lookup";
+  described.header = [](std::string_view) { return std::optional<std::string>("other-thing"); };
+  for (auto _ : state) benchmark::DoNotOptimize(selectors.choose(described));
 }
 BENCHMARK(choose)->Arg(1)->Arg(50);
 
--- a/fuzz/sql_fuzz.cpp
+++ b/fuzz/sql_fuzz.cpp
@@ -1,5 +1,5 @@
-// The PostgreSQL protocol, both sides: no crash, and a session that says the same however the bytes are
-// split.
+// This target tests both sides of the PostgreSQL protocol. It checks that nothing crashes, and that a session
+// consumes no bytes past the end of its input, whether the input arrives at once or byte by byte.
 #include <cstdint>
 #include <cstdlib>
 #include <string>
@@ -11,7 +11,7 @@
 
 using namespace heronwell;
 
-struct Log : sql::SessionEvents {
+struct EventLog : sql::SessionEvents {
   void on_columns(const std::vector<sql::Column>& columns) override { rows.columns(text, columns); }
   void on_row(sql::RowReader row) override { text += rows.row(text, row) ? "+" : "-"; }
   void on_complete(std::string_view tag) override { rows.complete(text, tag); }
@@ -27,18 +27,18 @@
   router::JsonRows rows;
 };
 
-std::string told(std::string_view bytes, std::size_t piece) {
-  Log log;
+std::string run_session(std::string_view bytes, std::size_t chunk_size) {
+  EventLog log;
   sql::Session session(4096);
   const bool never = false;
   std::string rest, sent;
-  for (std::size_t at = 0; at < bytes.size(); at += piece) {
-    rest += bytes.substr(at, piece);
+  for (std::size_t offset = 0; offset < bytes.size(); offset += chunk_size) {
+    rest += bytes.substr(offset, chunk_size);
     while (true) {
       const auto used = session.feed(rest, log, never);
       if (used > rest.size() || session.next_message_bytes() > 4096) std::abort();
       rest.erase(0, used);
-      // The router asks as soon as it may; the answer stands in the bytes already.
+      // Sends a query as soon as the session allows one; the input already contains the answer.
       if (session.reusable() && !rest.empty())
         session.query(sent, {{"work_mem", "1MB"}}, {"select $1", bytes.size() % 2 == 0, {"1"}});
       else
@@ -52,8 +52,8 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
-  (void)told(bytes, std::max<std::size_t>(size, 1));
-  (void)told(bytes, 1);
+  (void)run_session(bytes, std::max<std::size_t>(size, 1));
+  (void)run_session(bytes, 1);
   const auto startup = sql::next_startup(bytes);
   if (startup.state == sql::Frame::State::complete) (void)sql::read_startup(startup.message.payload);
   (void)sql::read_error(bytes);
--- a/tests/decision/decision_engine_test.cpp
+++ b/tests/decision/decision_engine_test.cpp
@@ -5,7 +5,7 @@
 namespace heronwell::test {
 namespace {
 
-TEST(Determinism, SameEventsSameActions) {
+TEST(Determinism, TheSameSeedAndEventsGiveTheSameActions) {
   const auto run = [] {
     DecisionDriver driver(basic_settings(), 99);
     driver.update_endpoints({endpoint(3), endpoint(4), endpoint(5)});
@@ -13,14 +13,14 @@
       driver.request(id, static_cast<ClassIndex>(id % 3));
       driver.run_until(driver.now + 30ms);
     }
-    std::vector<std::pair<RequestId, EngineId>> out;
-    for (const auto& s : driver.started) out.emplace_back(s.request, s.engine);
-    return out;
+    std::vector<std::pair<RequestId, EngineId>> attempts;
+    for (const auto& start : driver.started) attempts.emplace_back(start.request, start.engine);
+    return attempts;
   };
   EXPECT_EQ(run(), run());
 }
 
-TEST(Events, ARequestOfAnUnknownClassIsRejected) {
+TEST(Events, RejectsARequestOfAnUnknownClass) {
   DecisionDriver driver(basic_settings());
   driver.update_endpoints({endpoint(7)});
   driver.request(1, 99);
--- a/tests/decision/simulator_codec_test.cpp
+++ b/tests/decision/simulator_codec_test.cpp
@@ -10,25 +10,25 @@
 
 using Frame = std::vector<std::uint8_t>;
 
-void add(Frame& f, std::uint64_t value, int bytes) {
-  for (int i = 0; i < bytes; ++i) f.push_back(static_cast<std::uint8_t>(value >> (8 * i)));
+void add(Frame& frame, std::uint64_t value, int bytes) {
+  for (int i = 0; i < bytes; ++i) frame.push_back(static_cast<std::uint8_t>(value >> (8 * i)));
 }
 
 Frame batch(std::uint32_t records, const Frame& body) {
-  Frame f;
-  add(f, 20 + body.size(), 4);
-  add(f, records, 4);
-  add(f, 5000, 8);
-  add(f, 9, 4);
-  f.insert(f.end(), body.begin(), body.end());
-  return f;
+  Frame frame;
+  add(frame, 20 + body.size(), 4);
+  add(frame, records, 4);
+  add(frame, 5000, 8);
+  add(frame, 9, 4);
+  frame.insert(frame.end(), body.begin(), body.end());
+  return frame;
 }
 
 Frame hex(const std::string& text) {
-  Frame f;
+  Frame frame;
   for (std::size_t i = 0; i + 1 < text.size(); i += 2)
-    f.push_back(static_cast<std::uint8_t>(std::stoi(text.substr(i, 2), nullptr, 16)));
-  return f;
+    frame.push_back(static_cast<std::uint8_t>(std::stoi(text.substr(i, 2), nullptr, 16)));
+  return frame;
 }
 
 const char* const kSettings =
@@ -36,7 +36,7 @@
         "safety": {}, "family-info": {"cpu-of-kind": [12], "width-by-class": [4]},
         "classes": [{"aim": 800000000, "give-up": 4000000000, "semantics": "safe", "bound-to": [0]}]})";
 
-TEST(Wire, ReadsAnArrivalAfterItsContext) {
+TEST(Wire, ReadsARequestArrivalAfterItsInstanceRecord) {
   const auto body =
       hex("8203000000"
           "1ec4913a5d0000"
@@ -48,10 +48,10 @@
           "00003041"
           "01");
   BatchReader reader;
-  const auto got = reader.read(batch(2, body));
-  ASSERT_EQ(got.records.size(), 1U);
-  EXPECT_EQ(got.records[0].instance, 3U);
-  const auto& arrival = std::get<RequestArrived>(std::get<Event>(got.records[0].event));
+  const auto decoded = reader.read(batch(2, body));
+  ASSERT_EQ(decoded.records.size(), 1U);
+  EXPECT_EQ(decoded.records[0].instance, 3U);
+  const auto& arrival = std::get<RequestArrived>(std::get<Event>(decoded.records[0].event));
   EXPECT_EQ(arrival.request, 0x5d3a91c4U);
   EXPECT_EQ(arrival.time_left, std::chrono::milliseconds(240));
   EXPECT_EQ(arrival.estimated_memory_mb, 384);
@@ -60,7 +60,7 @@
   EXPECT_EQ(*arrival.estimated_work, std::chrono::milliseconds(12));
 }
 
-TEST(Wire, ReadsListsAndTheirRows) {
+TEST(Wire, ReadsEndpointListsAndTheirEntries) {
   const auto body =
       hex("7802000000"
           "02000000"
@@ -84,16 +84,16 @@
           "02000000"
           "29000000");
   BatchReader reader;
-  const auto got = reader.read(batch(3, body));
-  ASSERT_EQ(got.records.size(), 1U);
-  const auto& list = std::get<EndpointUpdate>(std::get<Event>(got.records[0].event));
+  const auto decoded = reader.read(batch(3, body));
+  ASSERT_EQ(decoded.records.size(), 1U);
+  const auto& list = std::get<EndpointUpdate>(std::get<Event>(decoded.records[0].event));
   EXPECT_EQ(list.kind, UpdateKind::cached);
   ASSERT_EQ(list.endpoints.size(), 2U);
   EXPECT_EQ(list.endpoints[0].engine, 0x03124a07U);
   EXPECT_EQ(list.endpoints[1].state, EndpointState::draining);
 }
 
-TEST(Wire, ReadsAnOutcomeWithItsCost) {
+TEST(Wire, ReadsAFinishedAttemptWithItsWorkAndMemory) {
   const auto body =
       hex("8203000000"
           "32c4913a5d"
@@ -105,15 +105,15 @@
           "60100100"
           "00");
   BatchReader reader;
-  const auto got = reader.read(batch(2, body));
-  const auto& outcome = std::get<AttemptFinished>(std::get<Event>(got.records[0].event));
+  const auto decoded = reader.read(batch(2, body));
+  const auto& outcome = std::get<AttemptFinished>(std::get<Event>(decoded.records[0].event));
   EXPECT_EQ(outcome.result, AttemptResult::served);
   EXPECT_TRUE(outcome.request_finished);
   EXPECT_EQ(*outcome.work, std::chrono::milliseconds(17));
   EXPECT_EQ(outcome.memory_mb, 4.0 * 0x060);
 }
 
-TEST(Wire, EveryTruncationOfARecordIsRefused) {
+TEST(Wire, RejectsEveryTruncationOfARecord) {
   const auto body =
       hex("8203000000"
           "32c4913a5d"
@@ -126,40 +126,40 @@
           "00");
   for (std::size_t cut = 0; cut < body.size(); ++cut) {
     BatchReader reader;
-    const Frame part(body.begin(), body.begin() + static_cast<std::ptrdiff_t>(cut));
-    EXPECT_THROW((void)reader.read(batch(2, part)), Malformed) << cut;
+    const Frame truncated(body.begin(), body.begin() + static_cast<std::ptrdiff_t>(cut));
+    EXPECT_THROW((void)reader.read(batch(2, truncated)), Malformed) << cut;
   }
 }
 
-TEST(Wire, RefusesWhatItDoesNotKnow) {
-  const auto refused = [](std::uint32_t records, const std::string& text) {
+TEST(Wire, RejectsMalformedBatchesAndFrames) {
+  const auto expect_rejected = [](std::uint32_t records, const std::string& text) {
     BatchReader reader;
     EXPECT_THROW((void)reader.read(batch(records, hex(text))), Malformed) << text;
   };
-  refused(2,
-          "8203000000"
-          "07");             // event code
-  refused(1, "4600000000");  // no context
-  refused(1,
-          "7810000000"
-          "00000000");  // list number
-  refused(2,
-          "8203000000"
-          "14"
-          "01"
-          "05000000"
-          "00000000");  // a list never told
-  refused(1,
-          "7800000000"
-          "ffffffff");  // absurd count
-  refused(1,
-          "8203000000"
-          "00");  // bytes left over
-  refused(2,
-          "8203000000"
-          "0a"
-          "0000000000000000"
-          "ffffffff");  // settings past the frame
+  expect_rejected(2,
+                  "8203000000"
+                  "07");             // unknown event code
+  expect_rejected(1, "4600000000");  // no instance record before the event
+  expect_rejected(1,
+                  "7810000000"
+                  "00000000");  // list number out of range
+  expect_rejected(2,
+                  "8203000000"
+                  "14"
+                  "01"
+                  "05000000"
+                  "00000000");  // reference to a list that was never sent
+  expect_rejected(1,
+                  "7800000000"
+                  "ffffffff");  // count exceeds the frame
+  expect_rejected(1,
+                  "8203000000"
+                  "00");  // bytes after the last record
+  expect_rejected(2,
+                  "8203000000"
+                  "0a"
+                  "0000000000000000"
+                  "ffffffff");  // settings exceed the frame
   BatchReader reader;
   Frame cut = batch(0, {});
   cut.pop_back();
@@ -168,7 +168,7 @@
   EXPECT_THROW((void)frame_length(hex("0300")), Malformed);
 }
 
-TEST(Wire, WritesWhatThePageShows) {
+TEST(Wire, WritesAReplyInTheProtocolsFormat) {
   ReplyWriter writer;
   writer.begin_instance(3);
   writer.add_action(StartAttempt{0x5d3a91c4, 0x03124a07, Time(0x01fa2d7390)});
@@ -181,17 +181,17 @@
                                    "074a1203"));
 }
 
-TEST(SettingsText, UnknownKeysAreIgnoredAndTheRestIsRead) {
-  const auto s = parse_settings(kSettings);
-  EXPECT_EQ(s.router_count, 3U);
-  EXPECT_EQ(s.machine_types[0].cores, 12);
-  EXPECT_EQ(s.classes[0].threads, 4U);
-  EXPECT_EQ(s.classes[0].latency_objective, std::chrono::milliseconds(800));
-  ASSERT_TRUE(s.classes[0].allowed_machine_types.has_value());
-  EXPECT_FALSE(s.retry_budget.has_value());
+TEST(SettingsText, IgnoresUnknownKeysAndReadsTheRest) {
+  const auto settings = parse_settings(kSettings);
+  EXPECT_EQ(settings.router_count, 3U);
+  EXPECT_EQ(settings.machine_types[0].cores, 12);
+  EXPECT_EQ(settings.classes[0].threads, 4U);
+  EXPECT_EQ(settings.classes[0].latency_objective, std::chrono::milliseconds(800));
+  ASSERT_TRUE(settings.classes[0].allowed_machine_types.has_value());
+  EXPECT_FALSE(settings.retry_budget.has_value());
 }
 
-TEST(SettingsText, BadOnesAreRefusedByName) {
+TEST(SettingsText, RejectsInvalidSettingsByName) {
   EXPECT_THROW((void)parse_settings("{"), Malformed);
   EXPECT_THROW((void)parse_settings("[]"), Malformed);
   std::string text = kSettings;
