--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -109,7 +109,7 @@
   // `endpoint_list`.
   struct Platform {
     std::string file;            // the configuration itself, read again on SIGHUP
-    std::string known;           // the event bus's events up to the start, JSON
+    std::string initial_events;  // `known`: the event bus's events up to the start, JSON
     Address bus;                 // the event bus
     std::size_t sockets = 0;     // file descriptors the process may have open
     std::size_t memory_mb = 0;   // memory the process may use
--- a/src/config/config_reader.cpp
+++ b/src/config/config_reader.cpp
@@ -65,7 +65,7 @@
   config.name = section.string("name", fmt::format("gateway-{}", config.module.router_index));
   if (section.has("seed")) config.seed = section.count("seed", 0, UINT64_MAX);
   config.threads = static_cast<unsigned>(section.count("threads", 1, 1, kMaxThreads));
-  for (const auto* read_before : {"of", "number", "zone"}) (void)section.has(read_before);
+  for (const auto* key : {"of", "number", "zone"}) (void)section.has(key);
   section.close();
 }
 
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -112,19 +112,19 @@
     config.names.machine_types.push_back(machine_type.name);
 }
 
-std::size_t read_limit(const Json& limits, const char* key, std::size_t least, std::size_t default_value) {
+std::size_t read_limit(const Json& limits, const char* key, std::size_t min, std::size_t default_value) {
   const auto found = limits.find(key);
   if (found == limits.end()) return default_value;
-  if (!found->is_number() || found->get<double>() < static_cast<double>(least))
+  if (!found->is_number() || found->get<double>() < static_cast<double>(min))
     reject(std::string("limits.") + key, "a number that leaves room to serve");
   return static_cast<std::size_t>(found->get<double>());
 }
 
-Config::Platform read_process(const Json& json, const std::string& file) {
+Config::Platform read_platform_settings(const Json& json, const std::string& file) {
   Config::Platform platform;
   platform.file = file;
   platform.bus = required_address(json, "bus");
-  platform.known = required(json, "known").dump();
+  platform.initial_events = required(json, "known").dump();
   const auto found = json.find("limits");
   const Json limits = found == json.end() ? Json::object() : *found;
   platform.sockets = read_limit(limits, "sockets", kMinSockets, kDefaultSockets);
@@ -183,7 +183,7 @@
   config.seed = read_seed(parsed);
   const auto& settings = required(parsed, "settings");
   read_settings(settings, config);
-  auto platform = read_process(parsed, file);
+  auto platform = read_platform_settings(parsed, file);
   divide_descriptors(config, platform);
   set_client_limits(config);
   set_engine_limits(settings, config.engines);
--- a/src/daemon/event_bus_source.cpp
+++ b/src/daemon/event_bus_source.cpp
@@ -56,7 +56,7 @@
 // Events that cannot be read are no reason to end: the first poll asks the bus for all of them.
 void EventBusSource::apply_events_up_to_start() {
   try {
-    if (events_.apply(config().platform->known)) publish(events_.entries());
+    if (events_.apply(config().platform->initial_events)) publish(events_.entries());
   } catch (const std::exception& error) {
     warn("event_snapshot_unreadable", error.what());
   }
--- a/src/daemon/server.cpp
+++ b/src/daemon/server.cpp
@@ -52,8 +52,8 @@
 // of the constructor, so that a configuration with several faults reports them in a fixed order: settings,
 // schema, port.
 struct Server::Parts {
-  explicit Parts(config::Config given)
-      : config(std::move(given)),
+  explicit Parts(config::Config server_config)
+      : config(std::move(server_config)),
         metrics(router::class_names(config.module)),
         query_parser(config.module),
         trace_file(TraceFile::create(config.trace, config.name, HERONWELL_VERSION, unix_offset())),
@@ -96,12 +96,12 @@
 
 void Server::run(const std::function<void()>& ready, Time max_shutdown_duration) {
   auto& parts = *parts_;
-  auto& first = parts.shards.front()->context();
+  auto& first_context = parts.shards.front()->context();
   Signals::Handlers handlers;
   handlers.terminate = [&] { parts.graceful_shutdown->begin(max_shutdown_duration); };
   if (parts.config.platform)
     handlers.reload = [&] { reload_platform_config(parts.config, parts.decision_thread); };
-  Signals signals(first, std::move(handlers));
+  Signals signals(first_context, std::move(handlers));
   signals.start();
 
   parts.decision_thread.on_ready(ready);
@@ -113,10 +113,10 @@
   std::vector<std::thread> other_threads;
   for (std::size_t i = 1; i < shards.size(); ++i)
     other_threads.emplace_back([&shard = *shards[i]] {
-      const auto guard = asio::make_work_guard(shard.context());  // no work yet is no reason to end
+      const auto work_guard = asio::make_work_guard(shard.context());  // no work yet is no reason to end
       shard.context().run();
     });
-  first.run();
+  first_context.run();
   for (auto& thread : other_threads) thread.join();
 }
 
--- a/src/daemon/tcp_stream.cpp
+++ b/src/daemon/tcp_stream.cpp
@@ -38,8 +38,8 @@
     asio::post(socket_.get_executor(), [self = shared_from_this()] { self->report_closed(true); });
     return;
   }
-  socket_.async_connect({host, address.port}, [self = shared_from_this()](boost::system::error_code failed) {
-    self->on_dial_finished(failed);
+  socket_.async_connect({host, address.port}, [self = shared_from_this()](boost::system::error_code result) {
+    self->on_dial_finished(result);
   });
 }
 
