--- a/src/config/config_reader.cpp
+++ b/src/config/config_reader.cpp
@@ -1,5 +1,5 @@
-// Reads the operators' YAML, one function a section. Sections are read in the order of the file's
-// documentation, so that a file with several faults reports them in that order.
+// Reads the operators' YAML file, with one function per section. Sections are read in the order of the
+// documentation, so that the first error of a file with several is the first one in that order.
 #include <fmt/format.h>
 
 #include "config/config.hpp"
@@ -10,40 +10,41 @@
 using namespace std::chrono_literals;
 
 constexpr std::uint64_t kMaxPort = 65535;
-constexpr std::uint64_t kConsulPort = 8500;  // Consul's own default
+constexpr std::uint64_t kConsulPort = 8500;  // default port of Consul
 
-// Durations: less than the timers tell apart, or longer than any request or connection lives, is a mistake of
-// the unit.
+// A duration below the resolution of the timers, or above the lifetime of any request or connection, is
+// rejected as an error in the unit.
 constexpr Time kMinDuration = 1ms;
 constexpr Time kMaxDuration = 24h;
 
-// Shards. Each takes a thread and a set of connections to every engine; far more than the cores of a machine
-// only multiplies idle connections.
+// The maximum number of shards. Each shard has a thread and its own connections to every engine; far more
+// shards than the machine has cores would only increase the number of idle connections.
 constexpr std::uint64_t kMaxThreads = 64;
 
-// Counts of things that the process holds in memory. The upper limits catch a slip of the pen; below them it
-// is the operator's memory.
+// Limits of objects that the process holds in memory. They only detect typing errors; the operator is
+// responsible for the memory that values below them need.
 constexpr std::uint64_t kMaxClientConnections = 1'000'000;  // more than one process can serve
 constexpr std::uint64_t kMaxEngineConnections = 100'000;    // to one engine
-constexpr std::uint64_t kMaxPerConnection = 10'000;         // headers of a request, requests of a pipeline
+constexpr std::uint64_t kMaxPerConnection = 10'000;         // headers per request, pipelined requests
 constexpr std::uint64_t kMaxQueuedTrails = 10'000'000;
 constexpr std::uint64_t kMaxIdempotencyKeys = 10'000'000;
 
-// A request with a few headers, such as a trace context, must fit; and an answer's head beside its first
-// bytes.
+// A request with a few headers, such as a trace context, must fit into the header limit, and the head of a
+// response and its first bytes must fit below the high-water mark.
 constexpr std::uint64_t kMinHeaderBytes = 256;
 constexpr std::uint64_t kMinHighWaterBytes = 1024;
 
-constexpr std::size_t kSqlstateLength = 5;  // as the SQL standard has it
+constexpr std::size_t kSqlstateLength = 5;  // defined by the SQL standard
 
-// A document of GraphQL. Depth stays low because a document is checked and executed recursively.
+// Limits of a GraphQL document and its execution. The depth is limited to a low value because documents are
+// checked and executed recursively.
 constexpr std::uint64_t kMaxDocumentDepth = 200;
 constexpr std::uint64_t kMaxDocumentParts = 1'000'000;    // fields, aliases, directives
-constexpr std::uint64_t kMaxDocumentTokens = 10'000'000;  // tokens, and fields after fragments are spread
-constexpr std::uint64_t kMaxParallelStatements = 1'000;   // of one request
+constexpr std::uint64_t kMaxDocumentTokens = 10'000'000;  // tokens; also fields after fragments are expanded
+constexpr std::uint64_t kMaxParallelStatements = 1'000;   // per request
 constexpr std::uint64_t kMaxParents = 1'000'000;          // rows whose fields one statement reads
-constexpr std::uint64_t kMaxErrors = 100'000;             // in one answer
-constexpr std::uint64_t kMaxBatchOperations = 1'000;      // in one request
+constexpr std::uint64_t kMaxErrors = 100'000;             // per response
+constexpr std::uint64_t kMaxBatchOperations = 1'000;      // per request
 
 Address read_address(yaml::Section& section, std::optional<std::uint64_t> default_port = std::nullopt) {
   Address address;
@@ -60,7 +61,8 @@
   return value;
 }
 
-// The rest of this section (zone, number, of) belongs to the decision engine's settings, read before.
+// Reads the keys of the section `gateway` that router::read_settings() has not read. It has read `zone`,
+// `number` and `of`; has() marks them as known for close().
 void read_gateway(yaml::Section section, Config& config) {
   config.name = section.string("name", fmt::format("gateway-{}", config.module.router_index));
   if (section.has("seed")) config.seed = section.count("seed", 0, UINT64_MAX);
@@ -71,20 +73,21 @@
 
 void read_listen(yaml::Section section, Config::Listen& listen) {
   listen.at = read_address(section);
-  // A URL and headers of ordinary clients, with cookies and tokens of some KiB.
+  // Enough for the URL and headers of usual clients, with cookies and tokens of some KiB.
   listen.limits.start_line = section.size("request_line", 8 << 10);
   listen.limits.header_bytes = section.size("header_bytes", 32 << 10);
   listen.limits.header_count = section.count("header_count", 100, 1, kMaxPerConnection);
-  // A statement with a long list of keys; larger ones are taken for a mistake.
+  // Enough for a statement with a long list of keys; larger bodies are probably errors.
   listen.limits.body = section.size("body", 1 << 20);
-  // A head is one or two packets: five seconds are several retransmissions.
+  // A head consists of one or two packets; five seconds allow for several retransmissions.
   listen.header_time = read_duration(section, "header_time", 5s);
   listen.idle_time = read_duration(section, "idle_time", 60s);
-  // A client that reads nothing for so long has gone, and its answer's memory is freed.
+  // A client that reads nothing for this long has probably ended; the memory of its response is released.
   listen.stall_time = read_duration(section, "stall_time", 30s);
   listen.connections = section.count("connections", 20'000, 1, kMaxClientConnections);
   listen.pipeline = section.count("pipeline", 16, 1, kMaxPerConnection);
-  // Short answers, nearly all, are buffered whole, so that their attempt can still be repeated when it fails.
+  // Nearly all responses are short enough to be buffered completely, so that an attempt that fails during its
+  // response can be retried.
   listen.hold = section.size("hold", 256 << 10);
   listen.high_water = section.size("high_water", 256 << 10);
   if (listen.limits.header_bytes < kMinHeaderBytes) section.fail("header_bytes", "expected at least 256B");
@@ -96,10 +99,10 @@
   engines.user = section.string("user", "heronwell");
   engines.database = section.string("database", "heronwell");
   engines.connections = section.count("connections", 64, 1, kMaxEngineConnections);
-  // On one site a connection takes a millisecond; past this an attempt is better made elsewhere.
+  // Connecting within one site takes a millisecond; after this time, an attempt at another engine is better.
   engines.dial_timeout = read_duration(section, "dial_timeout", 250ms);
   engines.idle_close = read_duration(section, "idle_close", 30s);
-  // A cancelled statement usually ends at once; past this its connection is closed rather than kept.
+  // A cancelled statement usually ends at once; after this time its connection is closed instead of reused.
   engines.cancel_wait = read_duration(section, "cancel_wait", 100ms);
   engines.probe_timeout = read_duration(section, "probe_timeout", 500ms);
   engines.most_message = section.size("most_message", 16 << 20);
@@ -120,7 +123,7 @@
     server.close();
   }
   if (list.file.empty() == list.consul_servers.empty())
-    section.fail("", "expected either a file or consul addresses");
+    section.fail("", "expected either `file` or `consul`");
   list.service = section.string("service", "sql");
   list.poll_wait = read_duration(section, "wait", 60s);
   list.poll_timeout = read_duration(section, "timeout", 5s);
@@ -152,13 +155,13 @@
   graphql.schema = section.string("schema", "");
   graphql.sdl = section.string("sdl", "");
   if (!graphql.schema.empty() && !graphql.sdl.empty())
-    section.fail("sdl", "expected a schema's file or its text");
+    section.fail("sdl", "expected either `schema` (a file) or `sdl` (the text)");
   graphql.timeout = read_duration(section, "timeout", 30s);
   read_document_limits(section, graphql.limits);
   read_execution_bounds(section, graphql.bounds);
   graphql.batch = section.count("batch", 0, 0, kMaxBatchOperations);
   graphql.documents = section.size("documents", 32 << 20);
-  // Longer than any client retries a mutation whose answer it did not get.
+  // Longer than clients retry a mutation after they got no answer.
   graphql.key_window = read_duration(section, "key_window", 10min);
   graphql.keys = section.count("keys", 100'000, 1, kMaxIdempotencyKeys);
   graphql.key_bytes = section.size("key_bytes", 64 << 20);
@@ -166,7 +169,7 @@
   section.close();
 }
 
-// The groups stand in the section itself, or in a file of their own that is watched (groups.file).
+// Reads the groups from the section itself, or from the separate, watched file that `groups.file` names.
 void read_groups(yaml::Section section, Config& config) {
   if (section.has("file")) {
     const auto path = section.string("file");
@@ -181,7 +184,8 @@
 }
 
 void read_trace(yaml::Section section, trace::Options& trace) {
-  constexpr double kDefaultSample = 0.01;  // enough to see what is usual; trouble is written whatever this is
+  // A small sample shows usual requests; `keep_trouble` writes requests with problems independently of it.
+  constexpr double kDefaultSample = 0.01;
   trace.file = section.string("file", "");
   trace.sample = section.number("sample", kDefaultSample, 0, 1);
   trace.keep_trouble = section.boolean("keep_trouble", true);
@@ -201,7 +205,7 @@
       member.close();
     }
   } else if (config.module.gossip_enabled && config.module.router_count > 1) {
-    section.fail("port", "missing; allow.tell needs it");
+    section.fail("port", "missing; allow.tell requires it");
   }
   section.close();
 }
--- a/src/config/effective_config.cpp
+++ b/src/config/effective_config.cpp
@@ -1,4 +1,5 @@
-// Prints the settings in force as YAML, one function a section; config_reader.cpp reads them to the same.
+// Prints the effective settings as YAML, with one function per section. config_reader.cpp reads the same
+// configuration from the result.
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
--- a/src/config/platform_config.cpp
+++ b/src/config/platform_config.cpp
@@ -1,7 +1,7 @@
-// Reads the configuration that the operators' platform hands a router (docs/operators/platform.md): JSON with
-// the router's name and addresses, the settings object that it shares with the simulator (site/settings.hpp),
-// the event bus's events so far, and limits on descriptors and memory. What the platform does not say is set
-// here.
+// Reads the configuration with which the operators' platform starts a router (docs/operators/platform.md). It
+// is JSON with the router's name and addresses, the settings object that is also used by the simulator
+// (site/settings.hpp), the events of the event bus up to the start, and limits of descriptors and memory. The
+// settings that the platform does not provide have fixed values here.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -22,50 +22,54 @@
 
 // ---- limits on descriptors and memory ------------------------------------------------------------------
 
-// Descriptors of the process itself: the standard streams, the reactor's three, the signals' two, the
-// listening socket, the event bus, the configuration as it is read again; and some to spare.
+// Descriptors of the process itself: the standard streams, three of the reactor, two for signals, the
+// listening socket, the event bus connection and the configuration file during a reload, plus a reserve.
 constexpr std::size_t kOwnDescriptors = 16;
-// limits.sockets. Below the least, the parts below would leave no engine connection for each class.
+// limits.sockets. With fewer than the minimum, the division below would leave too few engine connections for
+// one per class.
 constexpr std::size_t kMinSockets = 64;
 constexpr std::size_t kDefaultSockets = 256;
-// limits.memory_mb. The least holds the process and a few requests.
+// limits.memory_mb. The minimum is enough for the process and a few requests.
 constexpr std::size_t kMinMemoryMb = 16;
 constexpr std::size_t kDefaultMemoryMb = 64;
 
-// How the descriptors that are left are divided, so that no use can take another's part: clients that connect
-// without end must not keep the router from its engines, and neither from cancelling attempts.
-constexpr std::size_t kClientPart = 7;  // in kParts; the platform's own clients take a third of it at most
+// The remaining descriptors are divided into kParts parts, so that each use has its own share: clients that
+// open more and more connections must not prevent the router from connecting to engines or from cancelling
+// attempts.
+constexpr std::size_t kClientPart = 7;  // the platform's own clients use at most a third of these
 constexpr std::size_t kEnginePart = 7;
 constexpr std::size_t kDeletionPart = 1;  // connections for query deletions
 constexpr std::size_t kParts = 16;
-constexpr std::size_t kClosingDivisor = 32;  // one in so many for clients' connections that are being closed
+constexpr std::size_t kClosingDivisor = 32;  // 1/32 of them for client connections that are being closed
 
-// One in so many bytes of the process's memory for what clients sent and have yet to read. The rest is for
+// 1/4 of the process's memory is for bytes that clients have sent or have not yet read. The rest is for
 // parsing, tables and the process itself.
 constexpr std::size_t kBufferedBytesDivisor = 4;
 
 // ---- client connections ---------------------------------------------------------------------------------
 
-// Requests that one client connection may have open; the platform's protocol tells the clients the same
-// number.
+// The maximum number of open requests per client connection, which the platform's protocol also announces to
+// the clients.
 constexpr std::size_t kMaxPipelinedRequests = 32;
-// Without a byte of a frame that has begun.
+// The maximum time between two bytes of a frame.
 constexpr Time kFrameByteTimeout = 1500ms;
-// For a frame to arrive whole. The platform's rules owe a broken client an end of its connection within 3 s;
-// the rest is for noticing it and closing in order.
+// The time limit for a complete frame. The platform requires that the connection of a faulty client is closed
+// within 3 s; the rest of that time is for detecting the timeout and closing in order.
 constexpr Time kFrameTimeout = 2300ms;
 constexpr Time kClientIdleTimeout = 20s;
-// A client that reads nothing while answers wait for it. Longer than any pause of a process that still lives.
+// The maximum time for which a client reads nothing although responses are ready. It is longer than any pause
+// of a process that is still running.
 constexpr Time kClientStallTimeout = 5s;
-// Buffered for one client before the engine is no longer read.
+// The maximum size of the buffered response of one client; above it, reading from the engine pauses.
 constexpr std::size_t kResponseBufferBytes = 256 << 10;
 
 // ---- engine connections ---------------------------------------------------------------------------------
 
-// Where settings.ceilings does not say otherwise.
+// Values of missing keys in settings.ceilings.
 constexpr Time kDefaultDialTimeout = 250ms;
 constexpr Time kDefaultEngineIdleClose = 15s;
-// For an engine to confirm that a query is deleted. A round trip on one site is far shorter.
+// The timeout for an engine's confirmation of a query deletion. It is far longer than a round trip within one
+// site.
 constexpr Time kCancelTimeout = 100ms;
 constexpr Time kHealthCheckTimeout = 250ms;
 
@@ -75,13 +79,13 @@
 
 const Json& required(const Json& object, const char* key) {
   const auto found = object.find(key);
-  if (found == object.end()) reject(key, "a value; it is missing");
+  if (found == object.end()) reject(key, "a value, but the key is missing");
   return *found;
 }
 
 std::string required_text(const Json& object, const char* key) {
   const auto& value = required(object, key);
-  if (!value.is_string()) reject(key, "a text");
+  if (!value.is_string()) reject(key, "a string");
   return value.get<std::string>();
 }
 
@@ -91,7 +95,7 @@
   return {std::move(parsed->first), parsed->second};
 }
 
-// Hex digits, as a text or (where they are all decimal) a bare number.
+// Reads the optional seed in hexadecimal digits. It is a string, or a number if all digits are decimal.
 std::optional<std::uint64_t> read_seed(const Json& json) {
   const auto found = json.find("seed");
   if (found == json.end()) return std::nullopt;
@@ -99,7 +103,8 @@
   std::uint64_t seed = 0;
   const auto* end = digits.data() + digits.size();
   const auto parsed = std::from_chars(digits.data(), end, seed, 16);
-  if (parsed.ec != std::errc() || parsed.ptr != end) reject("seed", "hex digits");
+  if (parsed.ec != std::errc() || parsed.ptr != end)
+    reject("seed", "the hexadecimal digits of a 64-bit number");
   return seed;
 }
 
@@ -116,7 +121,7 @@
   const auto found = limits.find(key);
   if (found == limits.end()) return default_value;
   if (!found->is_number() || found->get<double>() < static_cast<double>(min))
-    reject(std::string("limits.") + key, "a number that leaves room to serve");
+    reject(std::string("limits.") + key, "a number not below the minimum (sockets: 64, memory_mb: 16)");
   return static_cast<std::size_t>(found->get<double>());
 }
 
@@ -154,7 +159,8 @@
   listen.high_water = kResponseBufferBytes;
 }
 
-// A duration of the platform's ceilings, in nanoseconds; missing or 0: `default_value`.
+// Reads a duration in nanoseconds from `ceilings`. Returns `default_value` if it is missing, not a number or
+// not positive.
 Time read_ceiling(const Json& ceilings, const char* key, Time default_value) {
   if (!ceilings.is_object()) return default_value;
   const auto found = ceilings.find(key);
@@ -165,8 +171,8 @@
 void set_engine_limits(const Json& settings, Config::Engines& engines) {
   const auto& ceilings = required(settings, "ceilings");
   engines.dial_timeout = read_ceiling(ceilings, "dial-timeout", kDefaultDialTimeout);
-  // Well before the engine closes an idle connection itself: a statement written in that moment would be
-  // lost, without a proof that it never began.
+  // The router closes an idle connection well before the engine does. A statement that is written when the
+  // engine closes the connection would be lost, and the router could not prove that it never began.
   engines.idle_close = read_ceiling(ceilings, "idle-close", kDefaultEngineIdleClose) * 3 / 4;
   engines.cancel_wait = kCancelTimeout;
   engines.probe_timeout = kHealthCheckTimeout;
@@ -188,7 +194,7 @@
   set_client_limits(config);
   set_engine_limits(settings, config.engines);
   config.platform = std::move(platform);
-  // Standard error is the only log there; it carries warnings only.
+  // The only log on the platform is standard error, to which only warnings are written.
   config.log.level = "warn";
   config.log.requests = "none";
   return config;
--- a/src/daemon/asio_timer.cpp
+++ b/src/daemon/asio_timer.cpp
@@ -5,9 +5,10 @@
 AsioTimer::AsioTimer(Executor executor, std::function<void()> on_expired)
     : timer_(executor), callback_(std::make_shared<Callback>(Callback{std::move(on_expired)})) {}
 
-// Failure: a wait that has expired can no longer be cancelled, though its handler is still queued behind the
-// turn that cancels it; a time-out then fires for a request that was answered. Guard: the handler remembers
-// its generation, and set() and cancel() begin a new one.
+// An expired wait cannot be cancelled any more, although its handler may still be queued behind the handler
+// that calls cancel(). Without a guard, the timeout would fire for a request that is already answered.
+// Therefore each wait stores the generation in which it was started, set() and cancel() increment the
+// generation, and a handler of an earlier generation does nothing.
 void AsioTimer::set(Time moment) {
   timer_.expires_at(to_time_point(moment));
   const auto generation = ++callback_->generation;
--- a/src/daemon/asio_timer.hpp
+++ b/src/daemon/asio_timer.hpp
@@ -1,4 +1,5 @@
-// One timer of a shard, on Asio. All calls come on the shard's thread.
+// AsioTimer implements a timer of a shard with Asio. All of its functions must be called on the shard's
+// thread, and the callback runs there.
 #pragma once
 
 #include <functional>
@@ -11,18 +12,18 @@
 
 class AsioTimer final : public path::Timer {
  public:
-  // `on_expired` runs on `executor`, once for each set() that is neither cancelled nor replaced.
+  // `on_expired` runs on `executor`, once for each call of set() that is neither cancelled nor replaced by a
+  // later one.
   AsioTimer(Executor executor, std::function<void()> on_expired);
   void set(Time moment) override;
   void cancel() override;
 
  private:
-  // Shared with the pending handler, which holds it weakly: a handler that runs after its timer was destroyed
-  // finds nothing to call.
+  // The pending handler holds a weak pointer to it, so that a handler that runs after the destruction of its
+  // timer does nothing.
   struct Callback {
     std::function<void()> call;
-    std::uint64_t generation =
-        0;  // of the latest set() or cancel(); a handler of an earlier one does nothing
+    std::uint64_t generation = 0;  // incremented by each set() and cancel()
   };
   SteadyTimer timer_;
   std::shared_ptr<Callback> callback_;
--- a/src/daemon/consul_source.cpp
+++ b/src/daemon/consul_source.cpp
@@ -9,8 +9,8 @@
 namespace heronwell::daemon {
 namespace {
 
-// Consul adds up to wait/16 to a blocking query, so that many watchers do not return at once (its
-// documentation, "Blocking Queries").
+// Consul prolongs a blocking query by up to wait/16, so that the queries of many watchers do not all return
+// at the same time (see "Blocking Queries" in the documentation of Consul).
 constexpr int kConsulWaitSpread = 16;
 
 }  // namespace
@@ -21,7 +21,7 @@
   Time backoff = list.min_backoff;
   while (!stopped()) {
     const auto& server = list.consul_servers[next_server];
-    std::string failure;  // co_await is not allowed in a handler
+    std::string failure;  // set in the catch block, in which co_await is not allowed
     try {
       co_await query(server);
     } catch (const std::exception& error) {
@@ -30,7 +30,8 @@
     if (stopped()) break;
     if (failure.empty()) {
       backoff = list.min_backoff;
-      if (index_ == 0) co_await poller().sleep(list.max_backoff);  // a server without blocking queries
+      // Index 0 means that the server does not support blocking queries.
+      if (index_ == 0) co_await poller().sleep(list.max_backoff);
       continue;
     }
     index_ = 0;
@@ -53,8 +54,8 @@
   }
   const auto response = co_await poller().get(server, target, limit);
   index_ = response.consul_index;
-  // An index that went back was reset at the server: as Consul's documentation asks, the next query waits for
-  // none.
+  // The server has reset its index if the index decreases. The next query must then be sent without an index,
+  // as the documentation of Consul requires.
   if (index_ < previous) index_ = 0;
   if (index_ != previous || previous == 0) publish(fleet::read_consul(response.body));
 }
--- a/src/daemon/consul_source.hpp
+++ b/src/daemon/consul_source.hpp
@@ -1,11 +1,13 @@
-// The endpoint list from Consul's health API, by blocking queries (/v1/health/service/NAME?index=N&wait=T).
+// ConsulSource reads the endpoint list from Consul's health API with blocking queries
+// (/v1/health/service/NAME?index=N&wait=T).
 //
-// Each answer carries an index; the next query waits at the server until the index has grown, or list.wait is
-// over. Its time limit here is list.timeout, plus the wait and the sixteenth by which Consul spreads it.
+// Each response carries an index. The server holds the next query until its index exceeds that value or until
+// list.wait is over. The router gives up a query after list.timeout plus the wait plus the sixteenth of it
+// by which Consul may prolong a wait.
 //
-// A failed query starts anew without an index at the next address of list.consul, after a backoff from
-// list.retry_least, doubled each time up to list.retry_most. A server without blocking queries (index 0) is
-// polled every list.retry_most.
+// After a failed query the source waits for a backoff and then queries the next address of list.consul,
+// without an index. The backoff starts at list.retry_least and doubles with each further failure, up to
+// list.retry_most. A server without support for blocking queries (index 0) is polled every list.retry_most.
 #pragma once
 
 #include <cstdint>
@@ -21,10 +23,10 @@
 
  private:
   asio::awaitable<void, Executor> watch() override;
-  // One query, and what it says is published. Throws on any failure.
+  // Sends one query and publishes the list in its response. Throws on any failure.
   asio::awaitable<void, Executor> query(config::Address server);
 
-  std::uint64_t index_ = 0;  // of the list in force; 0: none, the next query does not wait
+  std::uint64_t index_ = 0;  // of the current list; 0: none, the server answers the next query at once
 };
 
 }  // namespace heronwell::daemon
--- a/src/daemon/decision_thread.cpp
+++ b/src/daemon/decision_thread.cpp
@@ -6,11 +6,11 @@
 namespace {
 
 using namespace std::chrono_literals;
-// Between two updates of the gauges, and between two complete views of the resource groups. Well below the
-// interval at which Prometheus usually scrapes (seconds), and rare enough to cost nothing.
+// Interval between two updates of the gauges, and between two complete views of the resource groups. It is
+// well below the usual scrape interval of Prometheus (seconds), and long enough for a negligible cost.
 constexpr auto kMetricsInterval = 500ms;
-// Between two pieces of one view of the groups. A tree may have thousands of groups; in pieces it never holds
-// up a decision for longer than one piece takes.
+// Interval between two pieces of one view of the groups. A tree may have thousands of groups; because the
+// view is built in pieces, it delays a decision by the duration of one piece at most.
 constexpr auto kGroupViewPieceInterval = 5ms;
 
 }  // namespace
@@ -115,9 +115,9 @@
   });
 }
 
-// Failure: a writer that truncates the file and fills it again is caught in between. It shows as an empty or
-// a broken tree. Guard: an empty text is passed over, a broken one changes nothing
-// (DecisionLoop::reload_groups logs it), and either is read again when the text has changed.
+// The file may be read while a writer has truncated it and not yet written it completely. Such a file must
+// not replace the groups by an empty or incomplete tree: an empty text is ignored, an invalid one is logged
+// by DecisionLoop::reload_groups and changes nothing, and the file is parsed again when its text has changed.
 void DecisionThread::reload_groups_if_changed() {
   const auto text = read_file(config_.groups->file);
   if (text.empty() || text == groups_text_) return;
--- a/src/daemon/decision_thread.hpp
+++ b/src/daemon/decision_thread.hpp
@@ -1,18 +1,18 @@
-// The decision thread: what the decision loop (path/decision_loop.hpp) needs of the machine. Nothing is
-// decided here.
+// DecisionThread connects the decision loop (path/decision_loop.hpp) to clocks, timers, sockets and the other
+// threads. It makes no decisions itself.
 //
-// It brings to the loop, and takes from it:
+// It passes the following inputs to the loop and the following outputs on from it:
 //
-//   events of the shards           a queue; all that has arrived makes one tick
-//   the loop's next due moment     one timer
+//   events of the shards           a queue; all events that have arrived form one tick
+//   the loop's next due time       one timer
 //   endpoint lists                 endpoint_source.hpp
-//   gossip from other routers      gossip_socket.hpp
-//   the resource groups' file      watched here, handed over when its text has changed
-//   commands to the shards         one queue a shard
+//   gossip of other routers        gossip_socket.hpp, in both directions
+//   the resource groups' file      polled here and passed to the loop when its text has changed
+//   commands to the shards         one queue per shard
 //
-// Thread: the loop, its timers, the endpoint source and the gossip socket all run on one io_context, which is
-// that of the first shard (server.hpp). With one shard the process has a single thread for all of it. From
-// other threads only shard_events() may be used.
+// Threads: the loop, its timers, the endpoint source and the gossip socket all run on the io_context of the
+// first shard (server.hpp). With one shard, the process therefore has a single thread for all of this. Other
+// threads may only use shard_events().
 #pragma once
 
 #include <memory>
@@ -29,18 +29,20 @@
 
 class DecisionThread final : public path::DecisionEnvironment {
  public:
-  // The references must outlive it. Throws std::invalid_argument naming a setting that makes no sense.
+  // The referenced objects must outlive this one. Throws std::invalid_argument, which names the setting, if a
+  // setting is invalid.
   DecisionThread(asio::io_context& context, const config::Config& config, path::Metrics& metrics,
                  std::uint64_t seed);
 
   ShardEventQueue& shard_events() { return shard_events_; }
-  // `ready` is called once, when the first list with a ready engine is in force. Before start().
+  // `ready` is called once, when the first endpoint list with a ready engine takes effect. Must be called
+  // before start().
   void on_ready(std::function<void()> ready) { decision_loop_.on_ready(std::move(ready)); }
-  // `shards` in the order of their indices. Throws what GossipSocket's constructor throws.
+  // `shards` must be in the order of their indices. Throws the exceptions of GossipSocket's constructor.
   void start(std::vector<ShardThread*> shards);
-  // Nothing is decided or sent after it.
+  // After this call, nothing is decided or sent any more.
   void stop();
-  // Every open request is answered now, whatever its state; part of a graceful shutdown.
+  // Answers every open request now, in whatever state it is, as part of a graceful shutdown.
   void begin_shutdown();
   void switch_event_bus(config::Address bus) { endpoint_source_->switch_event_bus(std::move(bus)); }
 
@@ -63,15 +65,15 @@
   path::Metrics& metrics_;
   path::DecisionLoop decision_loop_;
   ShardEventQueue shard_events_;
-  SteadyTimer run_timer_;  // of the loop's next due moment
+  SteadyTimer run_timer_;  // expires at the loop's next due time
   SteadyTimer metrics_timer_;
   SteadyTimer groups_file_timer_;
   SteadyTimer group_views_timer_;
-  Time run_scheduled_for_ = Time::max();  // what run_timer_ is set to; max: not set
+  Time run_scheduled_for_ = Time::max();  // expiry of run_timer_; max: not set
   std::vector<ShardThread*> shards_;
   std::unique_ptr<EndpointSource> endpoint_source_;
-  std::optional<GossipSocket> gossip_socket_;  // where the configuration has peers
-  std::string groups_text_;                    // of the resource groups' file, as last read
+  std::optional<GossipSocket> gossip_socket_;  // only if the configuration has `peers` with a port
+  std::string groups_text_;                    // last text of the resource groups' file that was read
   bool stopped_ = false;
 };
 
--- a/src/daemon/endpoint_file_source.hpp
+++ b/src/daemon/endpoint_file_source.hpp
@@ -1,8 +1,8 @@
-// The endpoint list from a YAML file (list.file), read anew every list.watch.
+// EndpointFileSource reads the endpoint list from a YAML file (list.file), which it polls every list.watch.
 //
-// A file that is unreadable for the moment, as between a writer's removal and renaming, is passed over. One
-// that can be read but not parsed is reported once and read again when its text has changed: a writer may
-// have been in the middle of it. The last good list stays in force.
+// A file that cannot be read is ignored until the next poll, because a writer may have removed it and not yet
+// renamed the new one. A file that can be read but not parsed is reported once and parsed again when its text
+// has changed, because a writer may not have finished it. The last valid list stays in effect.
 #pragma once
 
 #include "daemon/endpoint_source.hpp"
@@ -18,8 +18,8 @@
   asio::awaitable<void, Executor> watch() override;
   void read_once();
 
-  std::string published_text_;  // of the list in force
-  std::string rejected_text_;   // the last that could not be parsed; empty after a good one
+  std::string published_text_;  // text of the current list
+  std::string rejected_text_;   // last text that could not be parsed; empty after a valid one
 };
 
 }  // namespace heronwell::daemon
--- a/src/daemon/endpoint_source.hpp
+++ b/src/daemon/endpoint_source.hpp
@@ -1,14 +1,16 @@
-// Where the endpoint list comes from. Three sources, chosen by the configuration:
+// EndpointSource is the base class of the sources of the endpoint list. The configuration selects one of
+// three:
 //
-//   a YAML file that is watched                endpoint_file_source.hpp   list.file
+//   a YAML file that is polled                 endpoint_file_source.hpp   list.file
 //   Consul's health API, by blocking queries   consul_source.hpp          list.consul
 //   the platform's event bus, by long polls    event_bus_source.hpp       the sub-command `node`
 //
-// A source publishes each list that differs from the one before, complete. One that is late, unreachable or
-// unreadable changes nothing: the last list stays in force, the failure is logged and retried with backoff.
-// What a list means for routing, and how old it may become, is decided elsewhere (fleet, decision).
+// A source publishes a complete list whenever the list differs from the one before. If a list is late,
+// unreachable or cannot be parsed, the last list stays in effect, and the source logs the failure and retries
+// with a backoff. The use of a list for routing and its maximum age are implemented elsewhere (fleet,
+// decision).
 //
-// Thread: the decision thread. A source is a coroutine of Asio there, which ends after stop().
+// Thread: the decision thread. A source is an Asio coroutine there, which ends after stop().
 #pragma once
 
 #include <boost/asio/awaitable.hpp>
@@ -31,9 +33,9 @@
   EndpointSource& operator=(const EndpointSource&) = delete;
 
   void start();
-  // Nothing is published after it.
+  // After this call, nothing is published any more.
   void stop();
-  // The event bus has moved, as a reload says. Without meaning for the other sources.
+  // Switches to the address of the event bus that a reload has set. The other sources ignore it.
   virtual void switch_event_bus(config::Address) {}
 
  protected:
@@ -46,7 +48,7 @@
   [[nodiscard]] const config::Config& config() const { return config_; }
   HttpPoller& poller() { return poller_; }
   void publish(std::vector<fleet::EndpointEntry> entries) { publish_({false, std::move(entries)}); }
-  // The source failed; counted, and the last list stays.
+  // Reports a failure of the source, which is counted. The last list stays in effect.
   void publish_failure() { publish_({true, {}}); }
 
  private:
@@ -57,7 +59,7 @@
   bool stopped_ = false;
 };
 
-// The source that the configuration names. `publish` is called on the executor, from start() on.
+// Creates the source that the configuration selects. After start(), `publish` is called on `executor`.
 std::unique_ptr<EndpointSource> create_endpoint_source(Executor executor, const config::Config& config,
                                                        EndpointSource::Publish publish);
 
--- a/src/daemon/event_bus_source.cpp
+++ b/src/daemon/event_bus_source.cpp
@@ -11,16 +11,18 @@
 
 using namespace std::chrono_literals;
 
-// How long the bus may hold a poll without events. A change ends the poll at once, so this does not delay
-// news; it bounds how long a bus that has gone silent is believed to have none.
+// The longest time for which the bus may hold a poll without events. The bus answers a poll as soon as there
+// is an event, so this value delays no event; it limits the time until a bus that does not answer any more is
+// detected.
 constexpr Time kPollHold = 1s;
-// Past kPollHold until a poll counts as silent: the bus's own delay and a busy machine.
+// A poll fails if it gets no response within kPollHold plus this time, which allows for delays in the bus and
+// for a busy machine.
 constexpr Time kPollSlack = 700ms;
-// Between polls that fail. The least lets a bus that restarts be found within one latency objective; the most
-// keeps the list fresh once a longer outage is over.
+// Backoff after a failed poll. The minimum is short enough to reconnect to a restarted bus within one latency
+// objective; the maximum is short enough to get a current list soon after a longer outage.
 constexpr Time kMinBackoff = 50ms;
 constexpr Time kMaxBackoff = 500ms;
-// Steps of the jitter.
+// Number of values between which the jitter chooses.
 constexpr int kJitterSteps = 1000;
 
 }  // namespace
@@ -35,7 +37,7 @@
   apply_events_up_to_start();
   while (!stopped()) {
     const auto bus = *bus_;
-    std::string failure;  // co_await is not allowed in a handler
+    std::string failure;  // set in the catch block, in which co_await is not allowed
     try {
       co_await poll(bus);
     } catch (const std::exception& error) {
@@ -46,14 +48,15 @@
       backoff = kMinBackoff;
       continue;
     }
-    if (bus != *bus_) continue;  // it has moved: the new address is asked at once
+    if (bus != *bus_) continue;  // switch_event_bus() interrupted the poll: poll the new address at once
     warn("event_bus_failed", fmt::format("{}:{}: {}", bus.host, bus.port, failure));
     co_await poller().sleep(with_jitter(backoff));
     backoff = std::min(backoff * 2, kMaxBackoff);
   }
 }
 
-// Events that cannot be read are no reason to end: the first poll asks the bus for all of them.
+// If the events cannot be parsed, the router starts nevertheless: the first poll requests all events from the
+// bus.
 void EventBusSource::apply_events_up_to_start() {
   try {
     if (events_.apply(config().platform->initial_events)) publish(events_.entries());
@@ -68,8 +71,9 @@
   if (events_.apply(response.body)) publish(events_.entries());
 }
 
-// Failure: when a bus restarts, all its routers lose their polls in the same moment and would come back in
-// the same moment, again and again. Guard: each waits half to one and a half of its backoff, drawn anew.
+// When the bus restarts, the polls of all routers fail at the same time. Without jitter, the routers would
+// also reconnect at the same time, again and again. Therefore each router waits for a random time between
+// half and one and a half of its backoff, chosen anew after each failure.
 Time EventBusSource::with_jitter(Time backoff) {
   return backoff / 2 + backoff * (random_() % kJitterSteps) / kJitterSteps;
 }
--- a/src/daemon/event_bus_source.hpp
+++ b/src/daemon/event_bus_source.hpp
@@ -1,12 +1,14 @@
-// The endpoint list from the platform's event bus, by long polls (/bus/read?from=OFFSET&hold=MS).
+// EventBusSource reads the endpoint list from the platform's event bus with long polls
+// (/bus/read?from=OFFSET&hold=MS).
 //
-// The platform's configuration carries the events up to the router's start, so that the first list is there
-// before the bus answers. From then on each poll asks for the events after the last one applied; the bus
-// holds the answer until there are some, at most kPollHold. A poll that breaks off, or is silent for
-// kPollHold and kPollSlack, is asked again on a new connection after a backoff.
+// The platform's configuration contains the events up to the router's start, so that the router has its first
+// list before the bus answers. After that, each poll requests the events after the last one that was applied;
+// the bus holds its response until there is an event, for kPollHold at most. A poll that fails, or has no
+// response after kPollHold plus kPollSlack, is repeated on a new connection after a backoff.
 //
-// SIGHUP (reload.hpp) may give the bus another address: the poll in progress is broken off and the new
-// address asked at once, from the same offset. Offsets belong to the bus, not to its address.
+// A reload (SIGHUP, reload.hpp) may change the address of the bus: the poll in progress is aborted, and the
+// new address is polled at once from the same offset, because offsets do not depend on the address of the
+// bus.
 #pragma once
 
 #include <optional>
@@ -26,12 +28,12 @@
   asio::awaitable<void, Executor> watch() override;
   void apply_events_up_to_start();
   asio::awaitable<void, Executor> poll(config::Address bus);
-  // `backoff` changed by up to half of it either way.
+  // Returns a random time from half of `backoff` to one and a half of it.
   [[nodiscard]] Time with_jitter(Time backoff);
 
   bus::EndpointEventReader events_;
-  std::optional<config::Address> bus_;  // from watch() on
-  std::minstd_rand random_;             // of the jitter
+  std::optional<config::Address> bus_;  // set when watch() starts
+  std::minstd_rand random_;             // for the jitter
 };
 
 }  // namespace heronwell::daemon
--- a/src/daemon/gossip_datagram.cpp
+++ b/src/daemon/gossip_datagram.cpp
@@ -12,8 +12,8 @@
 constexpr std::string_view kMagic = "hwp1";
 constexpr std::size_t kHeaderBytes = 4 + 4 + 8 + 8;  // magic, sender, epoch, sequence
 constexpr std::size_t kMacBytes = crypto_auth_BYTES;
-constexpr std::size_t kMinKeyBytes = 32;         // as much as the MAC has: a shorter key is the weaker part
-constexpr std::uint64_t kReplayWindowSize = 64;  // sequence numbers: the bits of ReplayWindow::received
+constexpr std::size_t kMinKeyBytes = 32;         // the length of the MAC; a shorter key would weaken it
+constexpr std::uint64_t kReplayWindowSize = 64;  // sequence numbers; one bit each in ReplayWindow::received
 
 const unsigned char* as_bytes(std::string_view text) {
   return reinterpret_cast<const unsigned char*>(text.data());
@@ -29,9 +29,9 @@
 GossipDatagramCodec::GossipDatagramCodec(std::string_view key, std::uint32_t router_index,
                                          std::uint64_t epoch)
     : router_index_(router_index), epoch_(epoch) {
-  if (sodium_init() < 0) throw std::runtime_error("libsodium does not start");
+  if (sodium_init() < 0) throw std::runtime_error("libsodium: initialization failed");
   key = without_trailing_space(key);
-  if (key.size() < kMinKeyBytes) throw std::invalid_argument("key file: expected at least 32 bytes");
+  if (key.size() < kMinKeyBytes) throw std::invalid_argument("peers.key_file: expected at least 32 bytes");
   crypto_generichash(key_.data(), key_.size(), as_bytes(key), key.size(), nullptr, 0);
 }
 
--- a/src/daemon/gossip_socket.cpp
+++ b/src/daemon/gossip_socket.cpp
@@ -16,8 +16,8 @@
   return key.str();
 }
 
-// The start of this process in system-clock ticks: later for each restart as long as the machine's clock is
-// not set back.
+// Returns the current time in ticks of the system clock. It increases with each restart of the process unless
+// the machine's clock is set back.
 std::uint64_t epoch_of_this_start() {
   return static_cast<std::uint64_t>(std::chrono::system_clock::now().time_since_epoch().count());
 }
@@ -48,8 +48,8 @@
   socket_.close(ignored);
 }
 
-// An error of one datagram, such as an ICMP "port unreachable" for one that was sent, does not end the
-// receiving.
+// Continues to receive after an error of one datagram, such as an ICMP "port unreachable" for a datagram that
+// was sent.
 void GossipSocket::receive_next() {
   socket_.async_receive_from(asio::buffer(datagram_), sender_,
                              [this](boost::system::error_code error, std::size_t size) {
@@ -66,7 +66,7 @@
   receiver_({opened.from, std::string(opened.payload)});
 }
 
-// A datagram of this router that comes back counts as a replay: someone reflects it.
+// A datagram of this router itself is counted as a replay, because another host has reflected it.
 void GossipSocket::count(DatagramFault fault) {
   switch (fault) {
     case DatagramFault::none:
@@ -84,7 +84,7 @@
 void GossipSocket::send(const router::ForwardGossip& gossip) {
   for (const auto& [router_index, address] : members_) {
     if (gossip.to_router && *gossip.to_router != router_index) continue;
-    boost::system::error_code ignored;  // a datagram may be lost anyway
+    boost::system::error_code ignored;  // gossip tolerates the loss of datagrams
     socket_.send_to(asio::buffer(codec_.seal(gossip.bytes)), address, 0, ignored);
     metrics_.gossip_sent->Increment();
   }
--- a/src/daemon/gossip_socket.hpp
+++ b/src/daemon/gossip_socket.hpp
@@ -1,9 +1,9 @@
-// The UDP socket over which routers exchange gossip (setting `peers`). It seals and opens datagrams and
-// counts them; what they say is decided elsewhere.
+// GossipSocket is the UDP socket over which routers exchange gossip (setting `peers`). It seals, opens and
+// counts datagrams, and does not interpret their payload.
 //
-// Thread: the decision thread. Sending does not block: a datagram for which the kernel has no space is
-// dropped, as the network may drop any datagram; gossip tolerates loss, since the next message replaces the
-// last.
+// Thread: the decision thread. Sending does not block: a datagram for which the kernel has no buffer space is
+// dropped. Gossip tolerates this as well as losses in the network, because each message replaces the one
+// before.
 #pragma once
 
 #include <array>
@@ -22,15 +22,15 @@
 
 class GossipSocket {
  public:
-  // Called on the decision thread for each accepted datagram of a known router.
+  // Called on the decision thread for each accepted datagram whose sender is one of the configured routers.
   using Receiver = std::function<void(path::GossipReceived)>;
 
-  // Binds config.gossip.listen, which must be set, and begins to receive. Throws std::invalid_argument where
-  // the key file cannot be read or is too short, boost::system::system_error where the port cannot be bound.
+  // Binds config.gossip.listen, which must be set, and starts to receive. Throws std::invalid_argument if the
+  // key file cannot be read or is too short, and boost::system::system_error if the port cannot be bound.
   GossipSocket(asio::io_context& context, const config::Config& config, path::Metrics& metrics,
                Receiver receiver);
 
-  // To one router, or to all of peers.members.
+  // Sends `gossip` to one router, or to all of peers.members except this router.
   void send(const router::ForwardGossip& gossip);
   void close();
 
@@ -46,7 +46,7 @@
   std::map<std::uint32_t, asio::ip::udp::endpoint> members_;  // the other routers, by index
   asio::ip::udp::socket socket_;
   asio::ip::udp::endpoint sender_;     // of the datagram in datagram_
-  std::array<char, 2048> datagram_{};  // larger than any valid datagram: a longer one shows as malformed
+  std::array<char, 2048> datagram_{};  // larger than any valid datagram, so that a longer one is malformed
   bool closed_ = false;
 };
 
--- a/src/daemon/graceful_shutdown.cpp
+++ b/src/daemon/graceful_shutdown.cpp
@@ -9,21 +9,22 @@
 
 using namespace std::chrono_literals;
 
-// Between two looks at whether requests or connections are still open. Short against every limit below; the
-// process is busy with little else by then.
+// Interval between two checks whether requests or connections are still open. It is short compared to all
+// limits below, and the process has little other work during a shutdown.
 constexpr auto kPollInterval = 5ms;
 
-// On the platform, after SIGTERM. The platform kills a process after the longest time-out of a request, or
-// kMaxKillDelay where that is less, and kKillSlack more.
+// The platform kills a process kKillSlack after the longest timeout of a class has passed since SIGTERM, or
+// kKillSlack after kMaxKillDelay if this is shorter.
 constexpr Time kMaxKillDelay = 3s;
 constexpr Time kKillSlack = 700ms;
-// How long before the kill all requests are answered: for the answers to be sent, the attempts at engines to
-// be cancelled and kCloseDuration.
+// All requests are answered at the latest this long before the platform kills the process. The time is needed
+// to send the answers, to cancel the attempts at engines and for kCloseDuration.
 constexpr Time kAnswerBeforeKill = 200ms;
-// How long requests are still accepted after SIGTERM: until every client has heard that this router leaves.
+// On the platform, requests are still accepted for this long after SIGTERM, until all clients have learned
+// that this router is shutting down.
 constexpr auto kDrainDuration = 800ms;
-// For clients to read their last answers and close, and for engines to confirm query deletions. Less than
-// kAnswerBeforeKill, so that it ends before the kill.
+// The time for clients to read their last answers and close, and for engines to confirm query deletions. It
+// is less than kAnswerBeforeKill, so that it ends before the platform kills the process.
 constexpr Time kCloseDuration = 150ms;
 static_assert(kCloseDuration < kAnswerBeforeKill);
 
@@ -81,7 +82,8 @@
   for (auto& shard : shards_) shard->context().stop();
 }
 
-// The gauges count a request from its reading to its answer, also while it is between two threads.
+// The gauges count a request from the time it is read until it is answered, also while it is queued between
+// two threads.
 bool GracefulShutdown::requests_open() const {
   return metrics_.open_requests->Value() > 0 || metrics_.graphql_open->Value() > 0;
 }
--- a/src/daemon/graceful_shutdown.hpp
+++ b/src/daemon/graceful_shutdown.hpp
@@ -1,44 +1,47 @@
-// Graceful shutdown, from SIGTERM or SIGINT to the end of the process.
+// GracefulShutdown ends the process after SIGTERM or SIGINT.
 //
-// What must hold: a request that was admitted is answered, and its client can read the answer.
+// It ensures that every admitted request is answered and that its client can read the answer, within the time
+// limits below.
 //
-// Everything here runs on the first shard's thread; shards on other threads are told by posted tasks. The
-// steps differ, because the platform still sends requests to a router that ends, while elsewhere a load
-// balancer or the client turns to another router at once.
+// All of it runs on the first shard's thread; tasks for shards on other threads are posted to them. The steps
+// on the platform differ from those elsewhere, because the platform still sends requests to a router that is
+// shutting down, while elsewhere a load balancer or the client switches to another router at once.
 //
 // Outside the platform (`serve`, `demo`):
 //
-//   1. The listener is closed: new connections are refused by the kernel.
-//   2. Each shard stops serving: no new requests; connections close as they fall idle; readiness says no.
-//   3. Every kPollInterval: is any request open? As soon as none is, or `max_duration` is over, step 4.
-//   4. The decision thread and all shards stop. What is still open then is broken off; its clients see the
-//      connection end.
+//   1. The listener is closed, so that the kernel refuses new connections.
+//   2. Each shard stops serving: it accepts no new requests, closes connections when they become idle, and
+//      reports that it is not ready.
+//   3. Every kPollInterval, it is checked whether any request is open. Step 4 follows when none is open or
+//      when `max_duration` is over.
+//   4. The decision thread and all shards stop. Requests that are still open are aborted, and their clients
+//      see the connection close.
 //
-// On the platform (`node`, one shard, so one thread for all of it):
+// On the platform (`node`, which has one shard and therefore one thread for all of it):
 //
-//   1. Readiness turns to no. Connections and requests are still accepted and answered for kDrainDuration,
-//      because clients hear late that the router is leaving.
-//   2. Every kPollInterval: is any request open? As soon as none is, or the answer deadline is reached,
-//      step 3.
-//      The answer deadline lies kAnswerBeforeKill before the earliest moment at which the platform may kill
-//      the process: SIGTERM + min(longest time-out of a class, kMaxKillDelay) + kKillSlack.
-//   3. The listener is closed and the shard begins its shutdown: it reads no new requests, tells each client
-//      that it leaves, and half closes each connection once nothing is owed on it.
-//   4. Every kPollInterval, at most kCloseDuration: the decision loop answers whatever is open, rejected
-//      where a retry elsewhere does no harm, else failed. This repeats because a request that a shard has
-//      read may still be on its way to the decision loop. It ends when all clients have closed and all
-//      query deletions at engines are confirmed.
+//   1. The router reports that it is not ready. It still accepts and answers connections and requests for
+//      kDrainDuration, because clients learn of the shutdown with a delay.
+//   2. Every kPollInterval, it is checked whether any request is open. Step 3 follows when none is open or
+//      when the answer deadline is reached. The answer deadline is kAnswerBeforeKill before the earliest time
+//      at which the platform may kill the process, which is
+//      SIGTERM + min(longest timeout of a class, kMaxKillDelay) + kKillSlack.
+//   3. The listener is closed and the shard begins its shutdown: it reads no new requests, announces the
+//      shutdown to each client, and half-closes each connection when all answers on it are sent.
+//   4. Every kPollInterval, for kCloseDuration at most, the decision loop answers all open requests: it
+//      rejects a request if a retry at another router is safe, and fails it otherwise. This is repeated
+//      because a request that a shard has read may still be queued for the decision loop. The step ends when
+//      all clients have closed their connections and engines have confirmed all query deletions.
 //   5. The decision thread and the shard stop.
 //
-// Unread bytes. Failure: closing a TCP connection while bytes of the peer lie unread in the receive buffer
-// makes the kernel send a reset, and the reset discards what the peer has not yet read, the last answer with
-// it. It shows as clients that report "connection reset" for a request that the router's log has as answered.
-// Guard: at the end each connection is half closed (shutdown of the sending side) and read until the client
-// closes its side; only then, or after kCloseDuration, it is closed.
+// Unread bytes: if a TCP connection is closed while bytes of the peer are unread in the receive buffer, the
+// kernel sends a reset, which discards all bytes that the peer has not yet read, including the last answer.
+// Clients then report "connection reset" for requests that are answered according to the router's log. To
+// prevent this, each connection is half-closed at the end (shutdown of the sending side) and read until the
+// client closes its side. Only then, or after kCloseDuration, it is closed.
 //
-// What an operator sees: from step 1 readiness says no, and /healthz says `stopping`; the gauges of open
-// requests fall to 0; the process exits with 0. A second signal changes nothing. A process that outlives the
-// times here hangs: end it with SIGKILL.
+// For an operator: from step 1, the router is not ready and /healthz returns `stopping`; the gauges of open
+// requests decrease to 0; the process exits with 0. A second signal has no effect. A process that runs longer
+// than these limits hangs and must be ended with SIGKILL.
 #pragma once
 
 #include <functional>
@@ -56,13 +59,14 @@
 
 class GracefulShutdown {
  public:
-  // The references must outlive it.
+  // The referenced objects must outlive this one.
   GracefulShutdown(const config::Config& config, path::Metrics& metrics,
                    std::vector<std::unique_ptr<ShardThread>>& shards, DecisionThread& decision_thread,
                    Listener& listener);
 
-  // On the first shard's thread. `max_duration`: outside the platform, how long open requests are waited for;
-  // on the platform, the longest time-out of a class. Only the first call counts.
+  // Starts the shutdown. Must be called on the first shard's thread; later calls have no effect.
+  // `max_duration` is the maximum wait for open requests outside the platform, and the longest timeout of a
+  // class on the platform.
   void begin(Time max_duration);
 
  private:
--- a/src/daemon/http_poller.cpp
+++ b/src/daemon/http_poller.cpp
@@ -15,19 +15,20 @@
 namespace {
 
 constexpr auto kAwait = asio::use_awaitable_t<Executor>{};
-// Bytes of one answer. A list of 10,000 engines is a few MiB; a source that sends more than this is taken to
-// be broken, before it exhausts the router's memory.
+// The maximum size of a response. A list of 10,000 engines has a few MiB; a longer response is treated as an
+// error before it exhausts the router's memory.
 constexpr std::size_t kMaxResponseBytes = 64 << 20;
 constexpr std::size_t kReadChunkBytes = 16 << 10;
 
-// Moves what `buffer` holds through the parser, and appends the body. True: the response is complete.
-// `ended`: the server sends no more.
+// Parses the bytes in `buffer`, removes them from it and appends the parsed part of the response's body to
+// `body`. `ended`: the server has closed its side of the connection. Returns true if the response is
+// complete.
 bool parse_available(http::Parser& parser, std::string& buffer, std::string& body, bool ended) {
   while (true) {
     const auto step = ended && buffer.empty() ? parser.close() : parser.next(buffer);
     body.append(step.body);
     buffer.erase(0, step.consumed);
-    if (step.event == http::Parser::Event::error) throw std::runtime_error("no HTTP answer");
+    if (step.event == http::Parser::Event::error) throw std::runtime_error("invalid HTTP response");
     if (step.event == http::Parser::Event::need_more) return false;
     if (step.event == http::Parser::Event::end) return true;
   }
@@ -68,7 +69,7 @@
 asio::awaitable<HttpPoller::Response, Executor> HttpPoller::get(config::Address server, std::string target,
                                                                 Time limit) {
   socket_ = std::make_shared<Socket>(executor_);
-  const auto socket = socket_;  // lives until this coroutine ends, also past the next request's
+  const auto socket = socket_;  // keeps the socket until this coroutine ends, even if get() is called again
   start_limit(limit, socket);
   const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(server.host), server.port);
   co_await socket->async_connect(endpoint, kAwait);
@@ -91,10 +92,11 @@
     const bool ended = error == asio::error::eof;
     buffer.append(chunk.data(), size);
     complete = parse_available(parser, buffer, response.body, ended);
-    if (ended && !complete) throw std::runtime_error("the answer was cut short");
+    if (ended && !complete) throw std::runtime_error("HTTP response is incomplete: connection closed");
   }
   timer_.cancel();
-  if (parser.status() != 200) throw std::runtime_error(fmt::format("status {}", parser.status()));
+  if (parser.status() != 200)
+    throw std::runtime_error(fmt::format("HTTP status {}, expected 200", parser.status()));
   response.consul_index = read_consul_index(parser);
   co_return response;
 }
--- a/src/daemon/listener.cpp
+++ b/src/daemon/listener.cpp
@@ -8,11 +8,11 @@
 
 using namespace std::chrono_literals;
 
-// Until accept is called again when no descriptor was free. Long enough for requests to end and give some
-// back, short enough that a client that waits in the kernel's queue hardly notices.
+// The pause until the next accept when no descriptor is free. It is long enough for requests to end and
+// release descriptors, and short enough to hardly delay a client in the kernel's accept queue.
 constexpr auto kAcceptPause = 50ms;
-// Connections that wait in the kernel to be accepted. Clients that all reconnect after a restart come within
-// one tick; the kernel cuts this to net.core.somaxconn.
+// The maximum number of connections in the kernel's accept queue. After a restart of the router, all clients
+// may reconnect within one tick. The kernel reduces this value to net.core.somaxconn.
 constexpr int kListenBacklog = 4096;
 
 }  // namespace
@@ -27,7 +27,7 @@
   const asio::ip::tcp::endpoint endpoint(asio::ip::make_address(config.listen.at.host),
                                          config.listen.at.port);
   acceptor_.open(endpoint.protocol());
-  // A restarted router binds its port while connections of the one before are in TIME_WAIT.
+  // Allows a restarted router to bind its port while connections of the previous process are in TIME_WAIT.
   acceptor_.set_option(Acceptor::reuse_address(true));
   acceptor_.bind(endpoint);
   acceptor_.listen(kListenBacklog);
@@ -52,7 +52,7 @@
   if (!acceptor_.is_open()) return;
   if (error) {
     if (config_.platform)
-      shards_.front()->shard().free_client_descriptor();  // its one shard is on this thread
+      shards_.front()->shard().free_client_descriptor();  // the only shard, which runs on this thread
     return accept_after_pause();
   }
   if (at_connection_limit()) {
@@ -63,14 +63,14 @@
   accept_next();
 }
 
-// On the platform the shard keeps the limit itself (can_accept_client).
+// On the platform, the shard enforces the limit itself (can_accept_client).
 bool Listener::at_connection_limit() const {
   return !config_.platform && metrics_.clients->Value() >= static_cast<double>(config_.listen.connections);
 }
 
 void Listener::hand_over(ShardThread& shard, Socket socket) {
   if (&shard == shards_.front().get()) return shard.serve(std::move(socket));
-  // A posted task must be copyable, a socket is not.
+  // A posted task must be copyable, but a socket is not.
   auto shared_socket = std::make_shared<Socket>(std::move(socket));
   asio::post(shard.context(), [&shard, shared_socket] { shard.serve(std::move(*shared_socket)); });
 }
--- a/src/daemon/listener.hpp
+++ b/src/daemon/listener.hpp
@@ -1,16 +1,17 @@
-// The listening socket: accepts client connections and deals them out to the shards in turn.
+// Listener owns the listening socket. It accepts client connections and distributes them to the shards in
+// round-robin order.
 //
-// Thread: that of the first shard. An accepted socket belongs to the io_context of its shard from the start;
-// it is handed to a shard on another thread by a posted task.
+// Thread: the first shard's thread. An accepted socket uses the io_context of its shard from the beginning.
+// It is passed to a shard on another thread by a posted task.
 //
-// Descriptors. Failure: clients that open connections without end take the last file descriptor; accept fails
-// at once and is called again at once (a busy loop), and engines can no longer be dialled. It shows as 100 %
-// of a core on the first thread and engines reported unreachable for `local` reasons. Guards:
-//   - limits: connections past listen.connections are closed at once and counted as rejected; on the
-//   platform,
-//     where the whole process has few descriptors, the shard is asked before each accept and ends a client's
-//     idle connection to make one free;
-//   - a failed accept is repeated after a pause, never at once.
+// File descriptors: clients that open more and more connections could use up all file descriptors. Without
+// guards, accept would fail and be repeated at once, in a busy loop that uses 100 % of a core on the first
+// thread, and the router could not connect to engines any more, which would be reported as unreachable for
+// `local` reasons. There are two guards:
+//   - Connections beyond listen.connections are closed at once and counted as rejected. On the platform,
+//     where the whole process has few descriptors, the listener asks the shard before each accept, and the
+//     shard closes an idle client connection to release a descriptor.
+//   - A failed accept is repeated after a pause.
 #pragma once
 
 #include <cstdint>
@@ -26,15 +27,16 @@
 
 class Listener {
  public:
-  // Binds config.listen and queues connections from here on; they are accepted from start() on. The
-  // references must outlive it; `shards` is not empty. Throws boost::system::system_error where the address
-  // cannot be bound.
+  // Binds config.listen and listens on it; connections stay in the kernel's queue until start(). The
+  // referenced objects must outlive this one, and `shards` must not be empty. Throws
+  // boost::system::system_error if the address cannot be bound.
   Listener(const config::Config& config, path::Metrics& metrics,
            std::vector<std::unique_ptr<ShardThread>>& shards);
 
   [[nodiscard]] std::uint16_t port() const { return acceptor_.local_endpoint().port(); }
   void start() { accept_next(); }
-  // Connections that no one has accepted are reset by the kernel, later ones refused.
+  // Closes the listening socket. The kernel resets connections that are not accepted yet and refuses new
+  // ones.
   void close();
 
  private:
@@ -51,7 +53,7 @@
   std::vector<std::unique_ptr<ShardThread>>& shards_;
   Acceptor acceptor_;
   SteadyTimer pause_timer_;
-  std::size_t next_shard_ = 0;  // counts up; its remainder is the shard
+  std::size_t next_shard_ = 0;  // incremented without limit; modulo the number of shards, it is an index
 };
 
 }  // namespace heronwell::daemon
--- a/src/daemon/load_schema.cpp
+++ b/src/daemon/load_schema.cpp
@@ -13,7 +13,7 @@
   const auto& schema_file = config.graphql.schema;
   std::ifstream file(schema_file, std::ios::binary);
   const std::string text{std::istreambuf_iterator<char>(file), {}};
-  if (!file) throw yaml::Error(schema_file + ":1:1: cannot be read");
+  if (!file) throw yaml::Error(schema_file + ":1:1: schema file cannot be read");
   return path::bind_schema(config, text, schema_file);
 }
 
--- a/src/daemon/load_schema.hpp
+++ b/src/daemon/load_schema.hpp
@@ -1,4 +1,4 @@
-// The GraphQL schema that a configuration names, read and bound to its classes.
+// Loads the GraphQL schema of a configuration.
 #pragma once
 
 #include <memory>
@@ -8,8 +8,9 @@
 
 namespace heronwell::daemon {
 
-// Throws yaml::Error, one line "FILE:LINE:COLUMN: what" for each fault; "graphql.sdl" stands for the file
-// where the text is in the configuration itself.
+// Reads the schema (graphql.sdl or the file graphql.schema) and binds it to the classes of `config`. Throws
+// yaml::Error with a line "FILE:LINE:COLUMN: MESSAGE" for each error. FILE is "graphql.sdl" if the
+// configuration itself contains the schema.
 std::unique_ptr<graphql::Bound> load_schema(const config::Config& config);
 
 }  // namespace heronwell::daemon
--- a/src/daemon/log.hpp
+++ b/src/daemon/log.hpp
@@ -1,4 +1,4 @@
-// Writes one line to the process's log (spdlog). Safe from any thread.
+// Writes lines to the log of the process (spdlog). The functions may be called from any thread.
 #pragma once
 
 #include <string>
@@ -7,10 +7,11 @@
 
 namespace heronwell::daemon {
 
-// `line` is a JSON object, complete.
+// `line` must be a complete JSON object.
 void write_log(path::Level level, const std::string& line);
 
-// A warning of the form {"event":EVENT,"detail":DETAIL}. `event` needs no escaping; `detail` is free text.
+// Logs a warning of the form {"event":EVENT,"detail":DETAIL}. `event` must not need escaping in JSON, while
+// `detail` may be any text.
 void warn(const char* event, const std::string& detail);
 
 }  // namespace heronwell::daemon
--- a/src/daemon/message_queue.hpp
+++ b/src/daemon/message_queue.hpp
@@ -1,12 +1,11 @@
-// A queue from any thread to one thread.
+// MessageQueue passes messages from any thread to one consumer thread.
 //
-// Producers append under a mutex; the consumer's executor runs one handler for everything that has arrived by
-// then, in order of arrival. The handler is posted once for a batch rather than once for a message. Between
-// the shards and the decision thread this batch is one tick of the decisions: the busier the router, the
-// larger the ticks and the lower the cost of each message.
+// Producers append messages under a mutex. The consumer's executor runs the handler with all messages that
+// have arrived until then, in order of arrival. The handler is posted once per batch, not once per message.
+// From the shards to the decision thread, each batch is one tick of the decisions: the more load the router
+// has, the larger the ticks and the lower the cost per message.
 //
-// The queue has no limit of its own: what enters it is limited by the connections and requests that a shard
-// admits.
+// The queue itself has no limit: the limits of connections and requests in the shards bound its length.
 #pragma once
 
 #include <boost/asio/post.hpp>
@@ -22,18 +21,19 @@
  public:
   using Handler = std::function<void(std::vector<Message>&)>;
 
-  // `handle` runs on `executor` with one batch of messages, never empty and never twice at once.
+  // `handle` runs on `executor` with one batch of messages, which is not empty. `executor` must not run two
+  // handlers at the same time.
   MessageQueue(Executor executor, Handler handle)
       : executor_(std::move(executor)), handle_(std::move(handle)) {}
 
-  // From any thread.
+  // May be called from any thread.
   template <class M>
   void push(M&& message) {
     std::unique_lock lock(mutex_);
     incoming_.push_back(std::forward<M>(message));
     wake_consumer(std::move(lock));
   }
-  // From any thread. Leaves `messages` empty with its capacity, so that the caller can fill it again.
+  // May be called from any thread. Clears `messages` but keeps its capacity, so that the caller can reuse it.
   void push_all(std::vector<Message>& messages) {
     if (messages.empty()) return;
     std::unique_lock lock(mutex_);
@@ -61,9 +61,9 @@
   Executor executor_;
   Handler handle_;
   std::mutex mutex_;               // guards incoming_ and handler_posted_
-  std::vector<Message> incoming_;  // by the producers
+  std::vector<Message> incoming_;  // filled by the producers
   bool handler_posted_ = false;
-  std::vector<Message> batch_;  // the consumer's own
+  std::vector<Message> batch_;  // used by the consumer only
 };
 
 }  // namespace heronwell::daemon
--- a/src/daemon/read_file.hpp
+++ b/src/daemon/read_file.hpp
@@ -1,4 +1,4 @@
-// Reading small files whole: settings, schemas, resource groups.
+// Reads small files completely, such as settings, schemas and resource groups.
 #pragma once
 
 #include <fstream>
@@ -7,8 +7,8 @@
 
 namespace heronwell::daemon {
 
-// The bytes of `path`. Empty where the file cannot be read: callers treat that like a file that a writer has
-// truncated and not yet filled, and look again later.
+// Returns the bytes of the file `path`, or an empty string if it cannot be read. Callers treat this like a
+// file that a writer has truncated and not yet written, and read it again later.
 inline std::string read_file(const std::string& path) {
   std::ifstream stream(path, std::ios::binary);
   return {std::istreambuf_iterator<char>(stream), {}};
--- a/src/daemon/reload.hpp
+++ b/src/daemon/reload.hpp
@@ -1,20 +1,20 @@
-// Reload of the platform's configuration on SIGHUP.
+// Reloads the platform's configuration on SIGHUP.
 //
-// The platform replaces the file (ROUTER_CONFIG) and sends SIGHUP when the event bus has moved to another
-// address. Step by step, all on the first shard's thread, without waiting:
+// The platform replaces the file (ROUTER_CONFIG) and sends SIGHUP when the address of the event bus has
+// changed. The reload runs on the first shard's thread without blocking, in these steps:
 //
 //   1. The whole file is read and checked as at the start (config::read_platform).
-//   2. Of it only the event bus's address is taken over: a poll in progress is broken off, and the new
-//      address asked at once for the events after the last one applied (event_bus_source.hpp). The same
-//      address changes nothing. The endpoint list in force stays until the new bus has news.
-//   3. All other settings stay as they were at the start; they need a restart.
+//   2. Only the address of the event bus is applied: the poll in progress is aborted, and the new address is
+//      polled at once for the events after the last one that was applied (event_bus_source.hpp). If the
+//      address is the same, nothing changes. The current endpoint list stays in effect until the new bus
+//      sends further events.
+//   3. All other settings keep their values from the start; changing them needs a restart.
 //
-// Failure: the file is half written, or wrong. Guard: nothing is changed before the whole file was checked;
-// the operator sees one warning, `reload_rejected` with the field and what was expected, and sends SIGHUP
-// again.
+// If the file is incomplete or invalid, nothing changes, because the whole file is checked first. One warning
+// `reload_rejected` names the field and the expected value, and the operator can send SIGHUP again.
 //
-// There is no reload by signal outside the platform: the endpoint file and the resource groups' file are
-// watched and need none (endpoint_file_source.hpp, decision_thread.hpp).
+// Outside the platform there is no reload by signal: the endpoint file and the resource groups' file are
+// polled for changes (endpoint_file_source.hpp, decision_thread.hpp).
 #pragma once
 
 #include "config/config.hpp"
@@ -22,7 +22,8 @@
 
 namespace heronwell::daemon {
 
-// `config` is the configuration in force; it must be the platform's.
+// `config` is the current configuration, which must be one of the platform. Does not throw: a failure is
+// logged.
 void reload_platform_config(const config::Config& config, DecisionThread& decision_thread);
 
 }  // namespace heronwell::daemon
--- a/src/daemon/server.cpp
+++ b/src/daemon/server.cpp
@@ -22,9 +22,9 @@
 namespace heronwell::daemon {
 namespace {
 
-// Failure: the usual soft limit of 1,024 descriptors is reached long before listen.connections, and accept
-// and dials fail. Guard: the soft limit is raised to the hard one, which the administrator set. Where that is
-// not permitted the router runs with what it has (listener.hpp).
+// Raises the soft limit of descriptors to the hard limit, which the administrator sets. With the usual soft
+// limit of 1,024, accepting clients and connecting to engines would fail long before listen.connections is
+// reached. If raising it is not permitted, the router runs with the existing limit (see listener.hpp).
 void raise_descriptor_limit() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -48,9 +48,9 @@
 
 }  // namespace
 
-// Each member uses only those above it and is destroyed before them. The optional ones are built in the body
-// of the constructor, so that a configuration with several faults reports them in a fixed order: settings,
-// schema, port.
+// Each member refers only to members above it and is destroyed before them. The optional members are created
+// in the body of the constructor, so that the errors of a configuration are reported in a fixed order:
+// settings, schema, port.
 struct Server::Parts {
   explicit Parts(config::Config server_config)
       : config(std::move(server_config)),
@@ -72,9 +72,9 @@
   config::Config config;
   path::Metrics metrics;
   router::QueryParser query_parser;
-  std::unique_ptr<TraceFile> trace_file;  // null: no tracing
+  std::unique_ptr<TraceFile> trace_file;  // null: tracing is off
   trace::Tracer tracer;
-  std::optional<path::Graphql> graphql;  // where the configuration has a schema
+  std::optional<path::Graphql> graphql;  // only if the configuration has a schema
   std::vector<std::unique_ptr<ShardThread>> shards;
   DecisionThread decision_thread;
   std::optional<Listener> listener;
@@ -113,7 +113,8 @@
   std::vector<std::thread> other_threads;
   for (std::size_t i = 1; i < shards.size(); ++i)
     other_threads.emplace_back([&shard = *shards[i]] {
-      const auto work_guard = asio::make_work_guard(shard.context());  // no work yet is no reason to end
+      // Keeps run() from returning while the shard has no work yet.
+      const auto work_guard = asio::make_work_guard(shard.context());
       shard.context().run();
     });
   first_context.run();
--- a/src/daemon/server.hpp
+++ b/src/daemon/server.hpp
@@ -1,13 +1,14 @@
-// One router process: its shards, the decision thread, the listener and the signals, put together.
+// Server creates and runs all parts of a router process: the shards, the decision thread, the listener and
+// the signal handling.
 //
-// Threads: `threads` in the configuration gives the number of shards, each with a thread of its own
-// (shard_thread.hpp). The thread that calls run() serves the first shard and with it the decision thread's
-// work, the listener and the signals; the others are started by run() and joined before it returns. A trace
+// Threads: `threads` in the configuration is the number of shards, each of which has its own thread
+// (shard_thread.hpp). The thread that calls run() runs the first shard, the decision thread's work, the
+// listener and the signal handlers. run() starts the other threads and joins them before it returns. A trace
 // file adds one thread that writes it (trace_file.hpp).
 //
-// Ownership: the Server owns all parts, and destroys them only after every thread has ended. Parts hold
-// references to each other in one direction: shutdown and listener know the shards and the decision thread,
-// these know the configuration and the metrics.
+// Ownership: Server owns all parts and destroys them only after all threads have ended. References between
+// the parts have one direction: the shutdown and the listener refer to the shards and the decision thread,
+// which refer to the configuration and the metrics.
 #pragma once
 
 #include <cstdint>
@@ -21,18 +22,18 @@
 
 class Server {
  public:
-  // Builds all parts and binds the port. Throws std::system_error (or Boost's) where the port cannot be bound
-  // or the trace file opened, yaml::Error for a wrong schema, std::invalid_argument naming a setting that
-  // makes no sense.
+  // Creates all parts and binds the port. Throws std::system_error or boost::system::system_error if the port
+  // cannot be bound or the trace file cannot be opened, yaml::Error if the schema is invalid, and
+  // std::invalid_argument, which names the setting, if a setting is invalid.
   explicit Server(config::Config config);
   ~Server();
   [[nodiscard]] std::uint16_t port() const;
 
-  // Serves until SIGINT, SIGTERM or stop(), and then shuts down gracefully (graceful_shutdown.hpp) in
-  // `max_shutdown_duration` at most. `ready` is called once, when queries can be answered: an endpoint list
-  // with a ready engine is in force.
+  // Serves until SIGINT, SIGTERM or stop(), and then shuts down gracefully. `max_shutdown_duration` limits
+  // the shutdown: see `max_duration` in graceful_shutdown.hpp. `ready` is called once, when the first
+  // endpoint list with a ready engine takes effect and queries can be answered.
   void run(const std::function<void()>& ready, Time max_shutdown_duration);
-  // From any thread: as SIGTERM does.
+  // Shuts down like SIGTERM. May be called from any thread.
   void stop(Time max_shutdown_duration);
 
  private:
--- a/src/daemon/shard_thread.cpp
+++ b/src/daemon/shard_thread.cpp
@@ -16,7 +16,7 @@
       shard_(*this, config, metrics, query_parser, tracer, index, config.threads),
       commands_(context_.get_executor(),
                 [this](std::vector<path::ShardCommand>& commands) { shard_.execute(commands); }) {
-  if (sodium_init() < 0) throw std::runtime_error("libsodium can't start");
+  if (sodium_init() < 0) throw std::runtime_error("libsodium: initialization failed");
 }
 
 void ShardThread::serve(Socket socket) {
@@ -24,7 +24,7 @@
   const auto peer = socket.remote_endpoint(error);
   auto stream = std::make_shared<TcpStream>(std::move(socket), read_buffer_);
   stream->configure();
-  // Only selectors of resource groups ask for the client's address.
+  // Only selectors of resource groups use the client's address.
   const bool address_needed = shard_.selectors() != nullptr && !error;
   shard_.serve(std::move(stream), address_needed ? peer.address().to_string() : std::string());
 }
--- a/src/daemon/shard_thread.hpp
+++ b/src/daemon/shard_thread.hpp
@@ -1,11 +1,12 @@
-// The thread of one shard: what a shard (path/shard.hpp) needs of the machine. Nothing is decided here.
+// ShardThread provides a shard (path/shard.hpp) with a clock, timers, sockets, random numbers and its queues.
+// It makes no decisions itself.
 //
-// Each shard has an io_context with exactly one thread on it, so that no lock is needed inside a shard: its
-// client connections, engine connections and requests belong to this thread alone. The first shard shares its
-// thread with the decision thread, the listener and the signals (server.hpp).
+// Each shard has an io_context that exactly one thread runs. A shard needs no locks, because its client
+// connections, engine connections and requests are used by this thread only. The first shard shares its
+// thread with the decision thread's work, the listener and the signal handling (server.hpp).
 //
-// Two queues join it to the decision thread: events go there (publish), commands come from there (commands).
-// These queues are the only things that two threads touch.
+// Two queues connect it to the decision thread: one for events to that thread (publish) and one for commands
+// from it (commands). No other data of a shard is shared between threads.
 #pragma once
 
 #include <array>
@@ -19,21 +20,22 @@
 
 namespace heronwell::daemon {
 
-using ShardEventQueue = MessageQueue<path::TimedEvent, Executor>;      // shards to decision thread
-using ShardCommandQueue = MessageQueue<path::ShardCommand, Executor>;  // decision thread to one shard
+using ShardEventQueue = MessageQueue<path::TimedEvent, Executor>;      // to the decision thread
+using ShardCommandQueue = MessageQueue<path::ShardCommand, Executor>;  // from the decision thread
 
 class ShardThread final : public path::ShardEnvironment {
  public:
-  // The references must outlive the shard. Throws std::runtime_error where libsodium cannot start.
+  // The referenced objects must outlive this one. Throws std::runtime_error if libsodium cannot be
+  // initialized.
   ShardThread(const config::Config& config, path::Metrics& metrics, const router::QueryParser& query_parser,
               trace::Tracer& tracer, unsigned index);
 
   asio::io_context& context() { return context_; }
   path::Shard& shard() { return shard_; }              // on this thread only, once it runs
-  ShardCommandQueue& commands() { return commands_; }  // from any thread
-  // Before the thread runs: where its events go.
+  ShardCommandQueue& commands() { return commands_; }  // on any thread
+  // Sets the queue to which events are published. Must be called before the thread runs.
   void bind(ShardEventQueue& events) { events_ = &events; }
-  // On this thread: takes over an accepted connection.
+  // Serves an accepted client connection. Must be called on this thread.
   void serve(Socket socket);
 
   [[nodiscard]] Time now() override { return steady_now(); }
@@ -46,11 +48,11 @@
   void log(path::Level level, std::string line) override { write_log(level, line); }
 
  private:
-  // Bytes of one read. A read takes what has arrived, so this bounds how long one connection holds the thread
-  // before the others have their turn.
+  // The maximum number of bytes per read. It limits the time for which one connection can occupy the thread
+  // before other connections are handled.
   static constexpr std::size_t kReadBufferBytes = 16 << 10;
 
-  asio::io_context context_{1};  // 1: a hint that one thread runs it
+  asio::io_context context_{1};  // concurrency hint 1: a single thread runs it
   pcg64 random_;
   ShardEventQueue* events_ = nullptr;
   std::array<char, kReadBufferBytes> read_buffer_{};  // shared by all streams of this thread
--- a/src/daemon/signals.hpp
+++ b/src/daemon/signals.hpp
@@ -1,18 +1,17 @@
-// The signals that the router handles, from their arrival to the function that acts on them.
+// Signals calls a handler for each signal that the router handles:
 //
-//   SIGTERM, SIGINT   graceful shutdown (graceful_shutdown.hpp). Only the first counts: a second one is
-//                     received and ignored, since the shutdown under way has a time limit of its own.
-//   SIGHUP            on the platform: reload (reload.hpp), as often as it comes. Elsewhere it is not caught
-//                     and ends the process, as the system does by default.
-//   SIGPIPE           ignored by the program's start (cli/main.cpp): a write to a closed connection is an
-//                     error of that connection, not of the process.
+//   SIGTERM, SIGINT   start a graceful shutdown (graceful_shutdown.hpp). Only the first one has an effect; a
+//                     second one is ignored, because the shutdown in progress has its own time limit.
+//   SIGHUP            causes a reload on the platform (reload.hpp), each time it is received. Elsewhere it is
+//                     not caught and ends the process, which is the default of the system.
+//   SIGPIPE           is ignored by the program (cli/main.cpp), so that writing to a closed connection fails
+//                     with an error of that connection and does not end the process.
 //
-// Thread: the system delivers a signal to Asio's signal handler, which writes to a pipe and nothing else; the
-// functions below run on the first shard's thread as ordinary handlers, between two others. They may use
-// anything that belongs to that thread.
+// Thread: Asio's signal handler only writes to a pipe. The functions below then run on the first shard's
+// thread as ordinary Asio handlers and may use all objects of that thread.
 //
-// Signals are received as long as this object lives; one that comes before the io_context runs is handled
-// when it does.
+// Signals are caught during the lifetime of this object. A signal that arrives before the io_context runs is
+// handled when it runs.
 #pragma once
 
 #include <boost/asio/signal_set.hpp>
@@ -25,11 +24,11 @@
 class Signals {
  public:
   struct Handlers {
-    std::function<void()> terminate;  // SIGTERM or SIGINT, once
-    std::function<void()> reload;     // SIGHUP, each time; empty: SIGHUP is not caught
+    std::function<void()> terminate;  // called at the first SIGTERM or SIGINT
+    std::function<void()> reload;     // called at each SIGHUP; empty: SIGHUP is not caught
   };
   Signals(asio::io_context& context, Handlers handlers);
-  // Begins to call the handlers. Once.
+  // Starts to call the handlers. Must be called once.
   void start();
 
  private:
--- a/src/daemon/tcp_stream.cpp
+++ b/src/daemon/tcp_stream.cpp
@@ -10,8 +10,8 @@
 namespace heronwell::daemon {
 namespace {
 
-// Pieces of one gathered write. An answer is a head, a body and a few separators; more pieces go with the
-// next write. Far below the system's IOV_MAX of 1024.
+// The maximum number of pieces in a gathered write; further pieces are left to the next write. A response
+// consists of a head, a body and a few separators. The value is far below the system's IOV_MAX of 1024.
 constexpr std::size_t kMaxPiecesPerWrite = 16;
 
 }  // namespace
@@ -19,10 +19,10 @@
 TcpStream::TcpStream(Socket socket, std::span<char> read_buffer)
     : socket_(std::move(socket)), read_buffer_(read_buffer) {}
 
-// Failure: with Nagle's algorithm the kernel holds the last, short segment of an answer until the peer has
-// acknowledged the one before, and the peer delays its acknowledgement. It shows as answers of two writes
-// that take some 40 ms longer than their query. Guard: TCP_NODELAY, set before the first byte; the router
-// gathers its writes itself, so no small segments are added.
+// Sets TCP_NODELAY before the first byte. With Nagle's algorithm, the kernel delays the last, short segment
+// of a response until the peer acknowledges the segment before, and the peer delays its acknowledgement. A
+// response in two writes then takes some 40 ms longer than its query. TCP_NODELAY adds no small segments,
+// because the router gathers its writes itself.
 void TcpStream::configure() {
   boost::system::error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -52,9 +52,10 @@
   if (const auto observer = this->observer()) observer->on_connected();
 }
 
-// Failure: a router that has no descriptor or local port left cannot dial, and would take every engine for
-// dead. It shows as all engines ejected at once while they answer others. Guard: only a refusal by the other
-// machine counts against the engine; what went short here is reported as local.
+// Distinguishes a refusal by the engine's machine from a shortage on this one. A router without a free
+// descriptor or local port cannot connect to any engine. If it counted this against the engines, it would
+// eject all of them at once although they answer other routers. Therefore only a refusal counts against the
+// engine, and a shortage of this machine is reported as `local`.
 void TcpStream::note_dial_failure(boost::system::error_code error) {
   if (error == asio::error::connection_refused) dial_failure_ = path::DialFailure::refused;
   if (error == asio::error::no_descriptors || error == boost::system::errc::too_many_files_open_in_system ||
@@ -93,11 +94,11 @@
   });
 }
 
-// Half-closed connections. Failure: a client that has sent its last request may shut down its sending side
-// and still wait for the answer; a router that takes the end of the bytes for the end of the connection drops
-// the answer. It shows as requests that were served and whose clients got nothing. Guard: an orderly end
-// (eof) is reported as not broken, and the socket stays open for writing; only a reset or another error is
-// broken.
+// Reads the bytes that have arrived and passes them to the observer. A client that has sent its last request
+// may shut down its sending side and still wait for the response. If the router treated the end of the input
+// as the end of the connection, the client of a served request would get no response. Therefore an orderly
+// end (eof) is reported as not broken, and the socket stays open for writing; only a reset or another error
+// is reported as broken.
 void TcpStream::read_available() {
   if (!reading_) return;
   const auto observer = this->observer();
@@ -114,9 +115,10 @@
   if (const auto observer = this->observer()) observer->on_closed(broken);
 }
 
-// Failure: an engine closes a pooled connection while it is idle, and a statement written to it is lost; that
-// cannot be told from a statement that began. Guard: the pool looks here before it writes, and takes only a
-// connection on which neither bytes nor an end wait to be read.
+// Returns whether neither bytes nor the end of the input can be read. If an engine has closed an idle
+// connection of the pool, a statement written to it is lost, and the router cannot determine whether the
+// statement has begun. Therefore the pool calls this function before it reuses a connection, and uses the
+// connection only if the result is true.
 bool TcpStream::nothing_to_read() {
   char peeked = 0;
   const auto received = ::recv(socket_.native_handle(), &peeked, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -128,9 +130,9 @@
   socket_.shutdown(Socket::shutdown_send, ignored);
 }
 
-// With `reset` the kernel drops what is still to be sent and the peer sees a reset; without, it delivers what
-// was written and then an end. Closing with unread bytes in the receive buffer resets the connection in
-// either case: see "Unread bytes" in graceful_shutdown.hpp.
+// With `reset`, the kernel discards unsent bytes and resets the connection. Without `reset`, it sends all
+// written bytes and then the end of the stream. If bytes are unread in the receive buffer, closing resets the
+// connection in either case: see "Unread bytes" in graceful_shutdown.hpp.
 void TcpStream::close(bool reset) {
   observer_.reset();
   reading_ = false;
--- a/src/daemon/tcp_stream.hpp
+++ b/src/daemon/tcp_stream.hpp
@@ -1,10 +1,12 @@
-// A TCP connection as the byte stream that a shard's machines use (path/environment.hpp).
+// TcpStream implements the byte stream of a shard's connections (path/environment.hpp) with a TCP socket.
 //
-// Thread: everything runs on the executor of the socket, which is the one of the shard that owns the stream.
-// Nothing blocks: what the kernel does not accept at once stays with the caller until notify_when_writable().
+// Thread: all functions run on the executor of the socket, which belongs to the shard that owns the stream.
+// They do not block: a write returns the number of bytes that the kernel has accepted, and the caller keeps
+// the rest until notify_when_writable() reports that the socket is writable.
 //
-// Ownership: the shard holds the stream; a pending wait of Asio holds it too, so that a handler never runs on
-// a destroyed stream. The stream holds its observer weakly: an observer that is gone is not called.
+// Ownership: the shard and each pending asynchronous operation hold a shared pointer to the stream, so that
+// no handler runs on a destroyed stream. The stream holds a weak pointer to its observer and does not call a
+// destroyed one.
 #pragma once
 
 #include <memory>
@@ -18,12 +20,13 @@
 
 class TcpStream final : public path::Stream, public std::enable_shared_from_this<TcpStream> {
  public:
-  // `read_buffer` is shared by all streams of a thread: a read is handed on before the next one begins.
+  // `read_buffer` may be shared by all streams of a thread, because the bytes of a read are passed to the
+  // observer before the next read.
   TcpStream(Socket socket, std::span<char> read_buffer);
 
-  // Sets the options that every connection needs. For an accepted socket, before attach().
+  // Sets the socket options of every connection. Must be called for an accepted socket before attach().
   void configure();
-  // Dials; the observer gets on_connected() or on_closed(true), never from within this call.
+  // Starts to connect. The observer gets on_connected() or on_closed(true), but not during this call.
   void connect(const config::Address& address);
 
   void attach(std::weak_ptr<path::StreamObserver> observer) override { observer_ = std::move(observer); }
@@ -45,8 +48,8 @@
   Socket socket_;
   std::span<char> read_buffer_;
   std::weak_ptr<path::StreamObserver> observer_;
-  bool reading_ = false;            // the observer wants bytes
-  bool read_wait_pending_ = false;  // Asio waits for the socket to become readable
+  bool reading_ = false;            // set by set_reading(): the observer accepts bytes
+  bool read_wait_pending_ = false;  // an asynchronous wait for the socket to be readable is pending
   path::DialFailure dial_failure_ = path::DialFailure::unknown;
 };
 
--- a/src/daemon/trace_file.cpp
+++ b/src/daemon/trace_file.cpp
@@ -57,7 +57,7 @@
       return;
     }
     queue_.push_back(trail);
-    if (queue_.size() > 1) return;  // the writer was woken for the first, and takes all
+    if (queue_.size() > 1) return;  // the writer is already notified and takes the whole queue
   }
   wake_writer_.notify_one();
 }
--- a/tests/router/config_test.cpp
+++ b/tests/router/config_test.cpp
@@ -47,7 +47,7 @@
   EXPECT_EQ(error_of(kBase + "rules: {max_attempts: many}\n"),
             "f.yaml:6:23: rules.max_attempts: expected a whole number, not \"many\"");
   EXPECT_EQ(error_of(kBase + "allow: {tell: true}\ngateway: {of: 2}\n"),
-            "f.yaml:1:1: peers.port: missing; allow.tell needs it");
+            "f.yaml:1:1: peers.port: missing; allow.tell requires it");
   EXPECT_EQ(error_of(kBase + "zones: [a, b]\ngateway: {zone: c}\n"),
             "f.yaml:7:17: gateway.zone: expected one of the configured zones");
   EXPECT_EQ(error_of(kBase + "loads: {fields: [cpu]}\n"),
