--- a/src/daemon/server.cpp
+++ b/src/daemon/server.cpp
@@ -22,9 +22,9 @@
 namespace heronwell::daemon {
 namespace {
 
-// Failure: the usual soft limit of 1,024 descriptors is reached long before listen.connections, and accept
-// and dials fail. Guard: the soft limit is raised to the hard one, which the administrator set. Where that is
-// not permitted the router runs with what it has (listener.hpp).
+// Raises the soft limit of descriptors to the hard limit, which the administrator sets. With the usual soft
+// limit of 1,024, accepting clients and connecting to engines would fail long before listen.connections is
+// reached. If raising it is not permitted, the router runs with the existing limit (see listener.hpp).
 void raise_descriptor_limit() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
@@ -48,12 +48,12 @@
 
 }  // namespace
 
-// Each member uses only those above it and is destroyed before them. The optional ones are built in the body
-// of the constructor, so that a configuration with several faults reports them in a fixed order: settings,
-// schema, port.
+// Each member refers only to members above it and is destroyed before them. The optional members are created
+// in the body of the constructor, so that the errors of a configuration are reported in a fixed order:
+// settings, schema, port.
 struct Server::Parts {
-  explicit Parts(config::Config given)
-      : config(std::move(given)),
+  explicit Parts(config::Config server_config)
+      : config(std::move(server_config)),
         metrics(router::class_names(config.module)),
         query_parser(config.module),
         trace_file(TraceFile::create(config.trace, config.name, HERONWELL_VERSION, unix_offset())),
@@ -72,9 +72,9 @@
   config::Config config;
   path::Metrics metrics;
   router::QueryParser query_parser;
-  std::unique_ptr<TraceFile> trace_file;  // null: no tracing
+  std::unique_ptr<TraceFile> trace_file;  // null: tracing is off
   trace::Tracer tracer;
-  std::optional<path::Graphql> graphql;  // where the configuration has a schema
+  std::optional<path::Graphql> graphql;  // only if the configuration has a schema
   std::vector<std::unique_ptr<ShardThread>> shards;
   DecisionThread decision_thread;
   std::optional<Listener> listener;
@@ -96,12 +96,12 @@
 
 void Server::run(const std::function<void()>& ready, Time max_shutdown_duration) {
   auto& parts = *parts_;
-  auto& first = parts.shards.front()->context();
+  auto& first_context = parts.shards.front()->context();
   Signals::Handlers handlers;
   handlers.terminate = [&] { parts.graceful_shutdown->begin(max_shutdown_duration); };
   if (parts.config.platform)
     handlers.reload = [&] { reload_platform_config(parts.config, parts.decision_thread); };
-  Signals signals(first, std::move(handlers));
+  Signals signals(first_context, std::move(handlers));
   signals.start();
 
   parts.decision_thread.on_ready(ready);
@@ -113,10 +113,11 @@
   std::vector<std::thread> other_threads;
   for (std::size_t i = 1; i < shards.size(); ++i)
     other_threads.emplace_back([&shard = *shards[i]] {
-      const auto guard = asio::make_work_guard(shard.context());  // no work yet is no reason to end
+      // Keeps run() from returning while the shard has no work yet.
+      const auto work_guard = asio::make_work_guard(shard.context());
       shard.context().run();
     });
-  first.run();
+  first_context.run();
   for (auto& thread : other_threads) thread.join();
 }
 
