--- a/src/path/client_request.hpp
+++ b/src/path/client_request.hpp
@@ -132,7 +132,7 @@
   std::map<AttemptIndex, AttemptResponse> responses;
   unsigned attempts = 0;
   EngineId engine = 0;    // engine of the last attempt
-  trace::TrailPtr trail;  // null if not traced
+  trace::TrailPtr trail;  // the spans of the request; null if it is not traced
   trace::SpanId span = 0;
   std::string trace_response, field;          // field: GraphQL field of a statement
   std::shared_ptr<Origin> origin;             // null if there are no groups
--- a/src/path/decision_loop.hpp
+++ b/src/path/decision_loop.hpp
@@ -37,7 +37,8 @@
   DecisionLoop(DecisionEnvironment& environment, const Config& config, Metrics& metrics, std::uint64_t seed,
                std::size_t shard_count);
 
-  // Processes events, then calls run(). `events` must not be empty and must be in order.
+  // Processes the events that have arrived since the previous call, then calls run(). `events` must not be
+  // empty and must be in the order of arrival.
   void receive(const std::vector<TimedEvent>& events);
   // Makes all decisions that are due now and delivers their commands through the environment.
   void run();
--- a/src/path/query_deletion.cpp
+++ b/src/path/query_deletion.cpp
@@ -14,8 +14,9 @@
 // Time after the last poll by which an engine has dropped a query without being asked. The platform's engines
 // drop a query after 2 s without a poll; 50 ms are added for the network delay of the last poll.
 constexpr Time kUnpolledQueryLifetime = 2050ms;
-// Delay before a lost call is repeated. Several retries fit into the time above, and the loss of a packet
-// blocks a request id only briefly.
+// Delay before a deletion is sent again if its connection could not be opened or was closed without a
+// response. Several retries fit into kUnpolledQueryLifetime, so the loss of a packet blocks a request id only
+// briefly.
 constexpr Time kRetryInterval = 100ms;
 // Delay before a deletion tries again if all connections for deletions are in use. It is shorter than
 // kRetryInterval, because a deletion on a healthy engine takes a few milliseconds.
--- a/src/path/tracing.hpp
+++ b/src/path/tracing.hpp
@@ -18,8 +18,8 @@
                     const std::optional<router::LoadSnapshot>& belief, EngineId engine);
 void trace_attempt(Time now, const Attempt& attempt, AttemptResult result, std::string_view code,
                    bool cancelled);
-// Ends the trace of a request and passes its trail to the tracer. For a statement of a GraphQL request, only
-// adds the statement's span to the trail of that request.
+// Ends the trace of a request and passes its trail (the spans of the request) to the tracer. For a statement
+// of a GraphQL request, only adds the statement's span to the trail of the GraphQL request.
 void trace_end(Shard& shard, ClientRequest& client_request, router::Termination end, int status);
 
 }  // namespace heronwell::path
--- a/tests/router/platform_test.cpp
+++ b/tests/router/platform_test.cpp
@@ -735,7 +735,7 @@
   EXPECT_TRUE(client->writing_shut_down);
 }
 
-TEST_F(Platform, LimitsClosingConnectionsIfManySilentClientsConnect) {
+TEST_F(Platform, LimitsClosingConnectionsIfManyClientsSendNothing) {
   std::vector<FakeStreamPtr> clients;
   for (std::size_t i = 0; i < 4 * config_.listen.connections; ++i) clients.push_back(connect_client());
   const auto open_count = std::ranges::count_if(clients, [](const auto& client) { return !client->closed; });
@@ -768,7 +768,7 @@
   execute(router::Command(router::StopAttempt{ticket, 0}));
   dispatch_attempt(ticket, 1, 8);
   dialled_[1]->fail(DialFailure::local);
-  EXPECT_EQ(dialled_.size(), 2U) << "expected no new attempt: the state of the engine is unknown";
+  EXPECT_EQ(dialled_.size(), 2U) << "expected no new attempt: the first engine may still run the query";
   advance_to(now_ + 150ms);
   ASSERT_EQ(dialled_.size(), 3U) << "expected the deletion to be retried";
   dialled_[2]->fail(DialFailure::refused);
@@ -949,7 +949,7 @@
   EXPECT_TRUE(client->written.empty());
 }
 
-TEST_F(Platform, SilentConnectionsAreClosedInTimeAndEvictedFirst) {
+TEST_F(Platform, ConnectionsWithoutACompleteFrameTimeOutAndAreEvictedFirst) {
   const auto silent = connect_client(), incomplete = connect_client(), idle = connect_client();
   incomplete->deliver(encode_request(1, request_id(1)).substr(0, 20));
   idle->deliver(encode_frame(16, 0, std::string(1, '\0')));
@@ -962,7 +962,7 @@
   for (std::size_t i = 1; i < config_.listen.connections; ++i) later_clients.push_back(connect_client());
   EXPECT_FALSE(idle->writing_shut_down || idle->closed);
   EXPECT_TRUE(later_clients.front()->writing_shut_down)
-      << "expected the client without a request to be evicted first";
+      << "expected the client that has sent no frame to be evicted before the idle one";
 }
 
 // The first request of a client that has just connected may be in transit.
--- a/tests/router/request_registry_test.cpp
+++ b/tests/router/request_registry_test.cpp
@@ -13,7 +13,8 @@
     set_engine_count(engines);
     run_until_idle();
   }
-  // After this call `commands` holds only its own commands.
+  // Runs the registry until it is idle. Afterwards `commands` contains only the commands of this call, not
+  // those of earlier calls.
   void run_until_idle() {
     commands.clear();
     RequestRegistryFixture::run_until_idle();
