--- a/src/bench/simulator_codec.cpp
+++ b/src/bench/simulator_codec.cpp
@@ -47,7 +47,7 @@
 
 namespace {
 
-// ---- the simulator's codes ----------------------------------------------------------------------------
+// ---- the codes of events and actions in the simulator's protocol --------------------------------------
 enum EventCode : std::uint8_t {
   start = 10,
   endpoint_update = 20,
--- a/src/bus/endpoint_event_reader.cpp
+++ b/src/bus/endpoint_event_reader.cpp
@@ -111,8 +111,9 @@
     const auto offset = integer_at(event, "offset", path, kMaxOffset);
     if (offset <= next.offset) continue;  // already applied
     // If an event was lost between two polls and the next delta were applied, the list would keep a removed
-    // engine or lack an added one. A gap is therefore an error, and the next poll requests the whole response
-    // again. A snapshot and the very first event do not depend on earlier events.
+    // engine or lack an added one. A gap is therefore an error: the whole response is discarded, and the next
+    // poll requests the same events again. A snapshot and the very first event do not depend on earlier
+    // events.
     if (offset != next.offset + 1 && next.offset != 0 && !is_snapshot(event))
       fail(path + ".offset", "the number that follows the previous event; events are missing");
     next.offset = offset;
--- a/src/fleet/endpoint_reader.cpp
+++ b/src/fleet/endpoint_reader.cpp
@@ -33,7 +33,8 @@
   return check_id == "_node_maintenance" || check_id.starts_with("_service_maintenance");
 }
 
-// Returns the state of an engine. Meta.state, if present, takes precedence over the health checks.
+// Returns the state of an engine. If Meta.state is "draining" or "gone", it takes precedence over the health
+// checks; any other value, even "ready", is ignored.
 EndpointState read_state(const Json& checks, const std::string& meta_state) {
   if (meta_state == "draining") return EndpointState::draining;
   if (meta_state == "gone") return EndpointState::removed;
--- a/src/router/request_registry.cpp
+++ b/src/router/request_registry.cpp
@@ -269,8 +269,9 @@
   }
 }
 
-// Ends requests that exceed the limits of their resource group. Each client gets its response at once. The
-// decision engine receives ClientDisconnected, since it needs to do nothing more for such a request.
+// Ends requests that have waited or run longer than their resource group allows, and responds to their
+// clients at once. The decision engine receives ClientDisconnected for such a request, because all that it
+// still has to do is to close the request without a response.
 void RequestRegistry::enforce_group_limits() {
   if (!groups_) return;
   for (const auto& [id, limit] : groups_->take_overdue()) {
--- a/tests/router/query_parser_test.cpp
+++ b/tests/router/query_parser_test.cpp
@@ -89,7 +89,7 @@
   EXPECT_EQ(problem_of(finish).status, 504);
 }
 
-TEST(Problems, OutcomeTextsMatchTheInterface) {
+TEST(Problems, OutcomeTextsMatchTheHttpInterface) {
   EXPECT_EQ(text_of(ProblemOutcome::bad_request), "rejected");
   EXPECT_EQ(text_of(ProblemOutcome::rejected), "refused");
   EXPECT_EQ(text_of(ProblemOutcome::failed), "failed");
