--- a/include/heronwell/events.hpp
+++ b/include/heronwell/events.hpp
@@ -40,7 +40,7 @@
 enum class ProgressKind {
   progress,  // AttemptProgress::amount is the part of the work that is done, from 0 to 1
   spill,     // amount is the missing memory in MB
-  waiting    // amount 1: the query waits for memory; 2: it waits for a load of its data group
+  waiting    // amount 1: the query waits for memory; 2: it waits for a query that loads its data group
 };
 
 struct Endpoint {
--- a/include/heronwell/settings.hpp
+++ b/include/heronwell/settings.hpp
@@ -72,9 +72,10 @@
   bool ordered_by_key = false;  // requests with the same order_key run one at a time, in the order of arrival
   std::optional<std::vector<std::uint16_t>> allowed_zones;          // none: all zones
   std::optional<std::vector<std::uint16_t>> allowed_machine_types;  // none: all machine types
-  unsigned threads = 1;           // threads that one query of the class uses; 1 or more
-  bool holds_data_group = false;  // the queries are loads, each of which locks its data group on its engine
-  // A query waits while a load holds the lock of its data group on its engine.
+  unsigned threads = 1;  // threads that one query of the class uses; 1 or more
+  // The queries load data; each of them locks its data group on its engine.
+  bool holds_data_group = false;
+  // The queries wait while a query that loads data holds the lock of their data group on their engine.
   bool waits_for_data_group = false;
 };
 
@@ -142,7 +143,8 @@
   // capacity for slow_start_overload_window. Ratio 0: it cannot be overloaded.
   double slow_start_overload_ratio = 0;
   Time slow_start_overload_window{};
-  Time ordering_quiet_period{};  // quiet period of a key after an attempt that may still run on its engine
+  // Quiet period of an ordering key after an attempt that may still run on its engine.
+  Time ordering_quiet_period{};
   // The endpoint list counts as out of date if it has not been fetched for so long.
   Time endpoint_poll_deadline{};
   std::optional<RetryBudget> retry_budget;  // none: only max_attempts limits retries and hedges
--- a/src/decision/health_checker.cpp
+++ b/src/decision/health_checker.cpp
@@ -17,8 +17,8 @@
 constexpr double kChecksPerRequest = 1;
 constexpr double kMaxSavedChecks = 20;
 
-// Engines checked for one heavy query. Checks for other queries leave one less than that in the budget, for
-// the next heavy query.
+// Largest number of engines that are checked for one heavy query. A check for any other query must leave one
+// check less than this in the budget. The next heavy query adds the missing one when it arrives.
 constexpr int kChecksForHeavyQuery = 4;
 
 // A class is heavy if kHeavyRatio times its work exceeds the work of the heaviest class.
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -16,8 +16,8 @@
 // Lower bound on the part done in a prediction. It limits the predicted duration to 200 times the age.
 constexpr double kMinProgress = 0.005;
 
-// AttemptProgress::amount above which a waiting attempt waits for a load of its data group; otherwise it
-// waits for memory.
+// Tells the two reasons for waiting apart, which AttemptProgress::amount gives as a code: 1 if the attempt
+// waits for memory, 2 if it waits for a query that loads its data group. Above this bound it is the latter.
 constexpr double kMinLoadWaitAmount = 1.5;
 }  // namespace
 
--- a/src/decision/retry_policy.hpp
+++ b/src/decision/retry_policy.hpp
@@ -35,7 +35,7 @@
   void retry_or_finish(Request& request);
   // Cancels an attempt of an idempotent request that has, or may have, another attempt.
   void give_up(Request& request, AttemptIndex attempt);
-  // Gives up an attempt that progresses far too slowly, or that waits for a load of its data group.
+  // Gives up an attempt that progresses far too slowly, or that waits for a query that loads its data group.
   void check_progress(Request& request, const AttemptProgress& progress);
 
  private:
--- a/tests/decision/forwarding_rules_test.cpp
+++ b/tests/decision/forwarding_rules_test.cpp
@@ -169,8 +169,9 @@
   EXPECT_EQ(driver.attempts_of(1), 1);
 }
 
-// Two requests of one key arrive. The first times out and may still run at its engine; the second waits for
-// it, and then for the quiet period, so that it cannot overtake it.
+// Two requests with the same ordering key arrive. The first times out, and its query may still run at its
+// engine. The second waits for the first to time out, and then for the quiet period, so that it cannot
+// overtake the first.
 TEST(KeyOrder, RequestsOfAKeyRunOneByOneWithAQuietPeriodAfterATimeOut) {
   Settings s = basic_settings();
   s.classes[kQuick].ordered_by_key = true;
@@ -194,8 +195,8 @@
   EXPECT_EQ(driver.attempts_of(2), 1);
 }
 
-// The client of the first of a key disconnects while its query runs. The next of the key waits until the
-// engine is done with it.
+// The client of the first request of an ordering key disconnects while its query runs. The next request of
+// the key waits until the engine is done with that query.
 TEST(KeyOrder, AClosedRequestHoldsItsKeyWhileItsAttemptIsInFlight) {
   Settings s = basic_settings();
   s.classes[kQuick].ordered_by_key = true;
--- a/tests/decision/latency_controller_test.cpp
+++ b/tests/decision/latency_controller_test.cpp
@@ -41,14 +41,15 @@
   EXPECT_DOUBLE_EQ(driver.decision_engine.pool_threads(), 0);
 }
 
-TEST(LatencyController, FollowsTheFormula) {
+TEST(LatencyController, TheBudgetFollowsTheControlEquationInEveryPeriod) {
   Settings s = loop_settings();
   s.machine_types[0].cores = 10;
   DecisionDriver driver(s);
   // One engine whose every slot is taken by this class, with more requests queued behind: E falls below 0.
   driver.update_endpoints({endpoint(7)});
   for (RequestId id = 1; id <= 21; ++id) driver.request(id, 0, 900s);
-  ASSERT_EQ(driver.decision_engine.class_view(0).queued, 1U) << "20 threads of the pool, and one queued";
+  ASSERT_EQ(driver.decision_engine.class_view(0).queued, 1U)
+      << "20 of the 21 requests fill the 20 threads of the pool, so one is queued";
   // Period m ends at 2 s x m; one request is queued since 0 s, so its wait is 2m seconds.
   // Period 1 also counts the 20 that went at once: mean wait 2 / 21.
   const double pool = 20, gain = -0.8 * pool / 10;
--- a/tests/decision/load_estimator_test.cpp
+++ b/tests/decision/load_estimator_test.cpp
@@ -28,9 +28,9 @@
 }
 
 // Reports count queries, and limits count threads. With wide classes in the settings that nobody used, each
-// reported query was taken for many threads, and engines seemed full. A reported query counts as one of
-// those that run here.
-TEST(LoadReports, AreWeighedByTheQueriesThatRunHereNotByAllClasses) {
+// reported query was taken for many threads, and engines seemed full. A reported query counts with the
+// mean threads of this router's own queries.
+TEST(LoadReports, CountAQueryWithTheMeanThreadsOfThisRoutersQueriesNotOfAllClasses) {
   Settings s = basic_settings();
   s.classes[1].threads = s.classes[2].threads = 4;  // never used
   s.health_checks_enabled = true;
@@ -43,7 +43,7 @@
   driver.run_until(driver.now + 20s);
   HealthCheckResult check;
   check.engine = 7;
-  check.load = {5};  // two of them from here
+  check.load = {5};  // two of them from this router
   driver.handle(driver.now, {check});
   driver.request(3, 0, 30s, 0, 3);
   EXPECT_EQ(driver.attempts_of(3), 1) << "about seven threads on four cores, not eleven";
@@ -65,12 +65,13 @@
     full += bad.started.back().engine % 2 == 1 ? 1 : 0;
   }
   EXPECT_GT(emptiest, 90) << "reports that agree tell which is idle";
-  EXPECT_GE(full, 5) << "else what was full a while ago may be empty now";
+  EXPECT_GE(full, 5)
+      << "reports that lie far apart may be old: an engine reported as full may be empty by now";
   EXPECT_LT(full, 50);
 }
 
-// Reports are seconds old while load rises everywhere. What runs here rises at once, so where reports
-// mislead the level is taken to be higher by as much, and fewer are sent.
+// Reports are seconds old while load rises everywhere. The load that this router itself causes rises at once,
+// so where reports mislead the level is taken to be higher by as much, and fewer requests are sent.
 TEST(OldReports, OwnThreadsAboveTheUsualShowThatAllRoutersOvershoot) {
   for (const bool apart : {false, true}) {
     DecisionDriver driver = driver_with_reports(apart, 28, 10);
--- a/tests/decision/simulator_codec_test.cpp
+++ b/tests/decision/simulator_codec_test.cpp
@@ -60,7 +60,7 @@
   EXPECT_EQ(*arrival.estimated_work, std::chrono::milliseconds(12));
 }
 
-TEST(Wire, ReadsListsAndTheirRows) {
+TEST(Wire, ReadsAnEndpointListAndItsEndpoints) {
   const auto body =
       hex("7802000000"
           "02000000"
