--- a/benchmarks/graphql_http_bench.cpp
+++ b/benchmarks/graphql_http_bench.cpp
@@ -84,7 +84,7 @@
     engines.emplace_back(
         std::vector<std::string>{program, "engine", "--name", fmt::format("e{}", i), "--sessions", "2000"},
         "");
-    list << fmt::format("  - {{name: e{}, port: {}, kind: k}}\n", i, port_of(engines.back().line(5s)));
+    list << fmt::format("  - {{name: e{}, port: {}, kind: k}}\n", i, port_of(engines.back().read_line(5s)));
   }
   list.close();
 
--- a/benchmarks/router_bench.cpp
+++ b/benchmarks/router_bench.cpp
@@ -91,7 +91,7 @@
     engines.emplace_back(
         std::vector<std::string>{program, "engine", "--name", fmt::format("e{}", i), "--sessions", "1000"},
         "");
-    ports.push_back(port_of(engines.back().line(5s)));
+    ports.push_back(port_of(engines.back().read_line(5s)));
     list << fmt::format("  - {{name: e{}, port: {}, kind: k}}\n", i, ports.back());
   }
   list.close();
@@ -134,7 +134,7 @@
   router.join();
 
   rehearsal::Process alone({program, "serve", "--config", (folder / "router.yaml").string()}, "");
-  const auto port = port_of(alone.line(5s));
+  const auto port = port_of(alone.read_line(5s));
   std::this_thread::sleep_for(300ms);
   const auto idle = std::min<std::size_t>(10'000, limit.rlim_cur - 200);
   {
--- a/src/cli/engine.cpp
+++ b/src/cli/engine.cpp
@@ -41,15 +41,15 @@
   process.start();
   std::cout << "listening 127.0.0.1:" << (relay ? relay->port() : engine.port()) << std::endl;
   context.run();
-  recorder.whole(rehearsal::steady_clock_now());
+  recorder.write_end(rehearsal::steady_clock_now());
   return ExitCode::done;
 }
 
 ExitCode run_engine_command(const EngineCommandOptions& options) {
   auto engine = options.engine;
-  engine.traits.ramp = parse_duration_option("ramp", options.ramp);
-  engine.traits.tip_window = parse_duration_option("tip-window", options.tip_window);
-  engine.progress_pace = parse_duration_option("progress", options.progress);
+  engine.traits.warm_up_duration = parse_duration_option("ramp", options.ramp);
+  engine.traits.overload_window = parse_duration_option("tip-window", options.tip_window);
+  engine.progress_interval = parse_duration_option("progress", options.progress);
   engine.warm = !options.cold;
   return run_engine(engine, options.relay, options.record);
 }
@@ -60,9 +60,11 @@
   command.add_option("--disks", traits.disks)->check(CLI::Range(0.1, 1e4))->capture_default_str();
   command.add_option("--memory-mb", traits.memory_mb)->check(CLI::Range(1.0, 1e8))->capture_default_str();
   command.add_option("--sessions", traits.sessions)->check(CLI::Range(1, 1000000))->capture_default_str();
-  command.add_option("--cold-from", traits.cold_from)->check(CLI::Range(0.01, 1.0))->capture_default_str();
+  command.add_option("--cold-from", traits.cold_capacity_ratio)
+      ->check(CLI::Range(0.01, 1.0))
+      ->capture_default_str();
   command.add_option("--ramp", options.ramp, "Until warm, such as 10s")->capture_default_str();
-  command.add_option("--tip-multiple", traits.tip_multiple)
+  command.add_option("--tip-multiple", traits.overload_ratio)
       ->check(CLI::Range(0.0, 1e3))
       ->capture_default_str();
   command.add_option("--tip-window", options.tip_window)->capture_default_str();
--- a/src/cli/list.cpp
+++ b/src/cli/list.cpp
@@ -37,8 +37,9 @@
   recorder.write(rehearsal::steady_clock_now(), "fault",
                  fmt::format(R"("what":"{}","value":{})", what, value));
   constexpr double kNanosecondsPerMillisecond = 1e6;
-  if (what == "late_ms") server.late(Time(static_cast<std::int64_t>(value * kNanosecondsPerMillisecond)));
-  if (what == "away") server.away(value > 0);
+  if (what == "late_ms")
+    server.set_delay(Time(static_cast<std::int64_t>(value * kNanosecondsPerMillisecond)));
+  if (what == "away") server.set_unavailable(value > 0);
 }
 
 // Serves the file's list, and again whenever its text has changed.
@@ -80,7 +81,7 @@
   file.look();
   std::cout << "listening 127.0.0.1:" << server.port() << std::endl;
   context.run();
-  recorder.whole(rehearsal::steady_clock_now());
+  recorder.write_end(rehearsal::steady_clock_now());
   return ExitCode::done;
 }
 
--- a/src/cli/load.cpp
+++ b/src/cli/load.cpp
@@ -37,7 +37,7 @@
   rehearsal::Recorder recorder(options.record, "clients", "clients");
   const auto start = options.start_ns > 0 ? Time(options.start_ns) : rehearsal::steady_clock_now();
   const auto result = rehearsal::play(day, ports, start, recorder);
-  recorder.whole(rehearsal::steady_clock_now());
+  recorder.write_end(rehearsal::steady_clock_now());
   std::cout << fmt::format(
                    "sent {} served {} refused {} failed {} other {} broken {} unconnected {} hung_up {} "
                    "late_ns {} resent {}",
--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -22,7 +22,7 @@
     ask_ = &ask;
     retry_ = retry;
     kept_ = shared_from_this();
-    talk_ = rehearsal::talk_of(clients_.day_, ask, retry);
+    talk_ = rehearsal::client_request_of(clients_.day_, ask, retry);
     if (end_) return send();
     end_ = clients_.network_.dial(clients_.process_, clients_.ports_[gateway_]);
     end_->attach(weak_from_this());
@@ -78,7 +78,7 @@
     body_.clear();
     bytes_ = 0;
     head_ = repeating_ = false;
-    limit(talk_.longest);
+    limit(talk_.time_limit);
     put();
   }
 
@@ -118,8 +118,8 @@
       reanswered(true);
       return rest();
     }
-    const auto heard =
-        rehearsal::hear(clients_.day_, *ask_, talk_.ids.size(), parser_.status(), std::exchange(body_, {}));
+    const auto heard = rehearsal::parse_answer(clients_.day_, *ask_, talk_.ids.size(), parser_.status(),
+                                               std::exchange(body_, {}));
     clients_.answered(*ask_, retry_, talk_, heard, now() - sent_, bytes_);
     if (!in_.empty()) each("extra");
     const auto& cls = clients_.day_.settings.classes[ask_->cls];
@@ -128,7 +128,7 @@
     if (clean && heard.unknown && cls.idempotency == Idempotency::not_idempotent) {
       clients_.write("resent", talk_.ids.front());
       repeating_ = true;
-      limit(rehearsal::kPatience);
+      limit(rehearsal::kGiveUpDelay);
       return put();
     }
     if (clean) return rest();
@@ -165,7 +165,7 @@
   bool up_ = false;
   const rehearsal::Ask* ask_ = nullptr;  // null: idle
   unsigned retry_ = 0;
-  rehearsal::EngineControlChannel talk_;
+  rehearsal::ClientRequest talk_;
   Time sent_{};
   std::uint64_t limits_ = 0, bytes_ = 0;
   bool head_ = false, repeating_ = false;
@@ -177,7 +177,10 @@
 class Clients::Call final : public EmulatedClient, public std::enable_shared_from_this<Call> {
  public:
   Call(Clients& clients, const rehearsal::Ask& ask, unsigned retry)
-      : clients_(clients), ask_(ask), retry_(retry), talk_(rehearsal::talk_of(clients.day_, ask, retry)) {}
+      : clients_(clients),
+        ask_(ask),
+        retry_(retry),
+        talk_(rehearsal::client_request_of(clients.day_, ask, retry)) {}
 
   void begin() {
     auto& gateway = *clients_.gateways_[ask_.gateway];
@@ -190,12 +193,13 @@
     clients_.write("sent", id, talk_.record);
     sent_ = now();
     gateway.ask(shared_from_this(), talk_.body, talk_.timeout);
-    clients_.process_.at(now() + talk_.longest, [self = shared_from_this()] { self->too_long(); });
+    clients_.process_.at(now() + talk_.time_limit, [self = shared_from_this()] { self->too_long(); });
   }
   void answered(int status, const std::string& outcome, Time pause) override {
     if (over_) return;
-    clients_.answered(ask_, retry_, talk_, rehearsal::heard_of(clients_.day_, ask_, status, outcome, pause),
-                      now() - sent_, 0);
+    clients_.answered(ask_, retry_, talk_,
+                      rehearsal::parsed_answer_of(clients_.day_, ask_, status, outcome, pause), now() - sent_,
+                      0);
     end();
   }
   void broken() override {
@@ -222,7 +226,7 @@
   Clients& clients_;
   const rehearsal::Ask& ask_;
   unsigned retry_;
-  rehearsal::EngineControlChannel talk_;
+  rehearsal::ClientRequest talk_;
   Time sent_{};
   bool over_ = false;
 };
@@ -273,8 +277,8 @@
         fmt::format(R"("gw":"gw-{}","cls":"{}")", ask.gateway, day_.settings.classes[ask.cls].name));
 }
 
-void Clients::answered(const rehearsal::Ask& ask, unsigned retry, const rehearsal::EngineControlChannel& talk,
-                       const rehearsal::Heard& heard, Time took, std::uint64_t bytes) {
+void Clients::answered(const rehearsal::Ask& ask, unsigned retry, const rehearsal::ClientRequest& talk,
+                       const rehearsal::ParsedAnswer& heard, Time took, std::uint64_t bytes) {
   rehearsal::count(heard, report_);
   auto& fate = fates_[ask.number];
   for (const auto& one : heard.statements) {
@@ -284,7 +288,7 @@
   }
   for (std::size_t i = 0; i < talk.ids.size(); ++i)
     write("answer", talk.ids[i], rehearsal::answer_record(heard.statements[i], took, bytes));
-  if (!heard.again || retry >= day_.retries) return;
+  if (!heard.may_retry || retry >= day_.retries) return;
   ++open_;
   process_.at(network_.loop().now() + heard.pause, [this, &ask, retry] {
     --open_;
--- a/src/emulator/clients.hpp
+++ b/src/emulator/clients.hpp
@@ -7,7 +7,7 @@
 
 #include "emulator/emulated_router.hpp"
 #include "http/message.hpp"
-#include "rehearsal/engine_control_channel.hpp"
+#include "rehearsal/client_request.hpp"
 #include "rehearsal/record.hpp"
 
 namespace heronwell::emulator {
@@ -22,7 +22,7 @@
   [[nodiscard]] bool done() const { return at_ == asks_.size() && open_ == 0; }
   [[nodiscard]] const rehearsal::LoadReport& report() const { return report_; }
   [[nodiscard]] const std::vector<rehearsal::Ask>& asks() const { return asks_; }
-  [[nodiscard]] const std::vector<rehearsal::AttemptFate>& fates() const { return fates_; }  // by ask
+  [[nodiscard]] const std::vector<rehearsal::RequestOutcome>& fates() const { return fates_; }  // by ask
 
  private:
   class Connection;
@@ -34,8 +34,8 @@
   void drop(const Connection& connection);
   void unconnected(const rehearsal::Ask& ask, const std::string& id);
   // What came of a request, and its next try if there is one.
-  void answered(const rehearsal::Ask& ask, unsigned retry, const rehearsal::EngineControlChannel& talk,
-                const rehearsal::Heard& heard, Time took, std::uint64_t bytes);
+  void answered(const rehearsal::Ask& ask, unsigned retry, const rehearsal::ClientRequest& talk,
+                const rehearsal::ParsedAnswer& heard, Time took, std::uint64_t bytes);
 
   Network& network_;
   const rehearsal::Day& day_;
@@ -45,7 +45,7 @@
   rehearsal::Recorder& recorder_;
   Process process_;
   std::vector<rehearsal::Ask> asks_;
-  std::vector<rehearsal::AttemptFate> fates_;
+  std::vector<rehearsal::RequestOutcome> fates_;
   std::size_t at_ = 0, open_ = 0;
   std::vector<std::vector<Ptr>> idle_;  // by gateway
   rehearsal::LoadReport report_;
--- a/src/emulator/engine.cpp
+++ b/src/emulator/engine.cpp
@@ -21,7 +21,7 @@
     then_ = std::move(then);
     flush();
   }
-  void add(std::string_view bytes) override {
+  void send_notice(std::string_view bytes) override {
     if (out_.empty()) (void)end_->write({&bytes, 1});
   }
   void close(bool reset) override {
@@ -36,7 +36,7 @@
   }
   void on_writable() override { flush(); }
   void on_closed(bool) override {
-    if (session_) engine_.core_->over(session_);
+    if (session_) engine_.core_->connection_closed(session_);
   }
 
  private:
@@ -85,18 +85,18 @@
   core_->start();
 }
 
-void Engine::wake(Clock which, Time at) {
+void Engine::set_timer(TimerKind which, Time at) {
   const auto set = ++wakes_[static_cast<std::size_t>(which)];
   if (at == Time::max()) return;
   process_.at(at, [this, which, set] {
-    if (set == wakes_[static_cast<std::size_t>(which)]) core_->woken(which);
+    if (set == wakes_[static_cast<std::size_t>(which)]) core_->on_timer(which);
   });
 }
 
 // Nobody listens any more. A core that tipped over is still in the middle of it.
-void Engine::died() {
+void Engine::stopped_listening() {
   network_.close(options_.port);
-  tipped_ = tipped_ || core_->tipped();
+  tipped_ = tipped_ || core_->crashed();
 }
 
 void Engine::kill() {
@@ -109,7 +109,7 @@
 void Engine::end() {
   if (!core_) return;
   core_->kill();
-  recorder_->whole(now());
+  recorder_->write_end(now());
 }
 
 }  // namespace heronwell::emulator
--- a/src/emulator/engine.hpp
+++ b/src/emulator/engine.hpp
@@ -10,7 +10,7 @@
 
 namespace heronwell::emulator {
 
-class Engine final : public rehearsal::EngineWorld {
+class Engine final : public rehearsal::EngineEnvironment {
  public:
   // `folder`: where its record goes, appended to at each start; empty: none is kept.
   Engine(Network& network, rehearsal::EngineOptions options, std::string folder);
@@ -28,9 +28,9 @@
   [[nodiscard]] bool tipped() const { return tipped_; }
 
   Time now() override { return network_.loop().now(); }
-  void wake(Clock which, Time at) override;
+  void set_timer(TimerKind which, Time at) override;
   void after(Time pause, std::function<void()> then) override { process_.at(now() + pause, std::move(then)); }
-  void died() override;
+  void stopped_listening() override;
 
  private:
   class Link;
--- a/src/emulator/list.cpp
+++ b/src/emulator/list.cpp
@@ -37,7 +37,7 @@
   if (one.life != to.life()) return;
   pause_.erase(one.gateway);
   recorder_.write(network_.loop().now(), "told",
-                  rehearsal::told_record(one.gateway->config().name, index_, entries_));
+                  rehearsal::endpoint_list_record(one.gateway->config().name, index_, entries_));
   to.at(network_.loop().now() + network_.way(),
         [this, gateway = one.gateway, index = index_, entries = entries_] {
           gateway->listed({false, entries});
--- a/src/emulator/play.cpp
+++ b/src/emulator/play.cpp
@@ -64,10 +64,10 @@
     const auto forget = loop_.now() + kLongestLeft;
     while (left_over().size() > (disagreement_.empty() ? 0U : 1U) && loop_.now() < forget && loop_.step()) {
     }
-    client_recorder_.whole(loop_.now());
-    list_recorder_.whole(loop_.now());
+    client_recorder_.write_end(loop_.now());
+    list_recorder_.write_end(loop_.now());
     for (auto& engine : engines_) engine->end();
-    recorder_.whole(loop_.now());
+    recorder_.write_end(loop_.now());
     Played played{clients.report(), loop_.now() - kBegin, loop_.events(),
                   left_over(),      clients.asks(),       clients.fates()};
     loop_.end();
@@ -116,7 +116,7 @@
     options.port = static_cast<std::uint16_t>(kEnginePorts + i);
     options.traits = day_.traits;
     options.seed = day_.seed + i;
-    options.progress_pace = day_.progress;
+    options.progress_interval = day_.progress;
     auto& entry = entries_[i];
     entry.name = options.name;
     entry.host = "127.0.0.1";
@@ -129,7 +129,7 @@
   }
 
   void add_gateway(unsigned i) {
-    auto yaml = rehearsal::router_of(day_, i);
+    auto yaml = rehearsal::router_config_of(day_, i);
     yaml["listen"]["port"] = port_of(i);
     YAML::Node at;
     at["port"] = 1;  // the emulated list has no address
@@ -152,10 +152,10 @@
   }
 
   // ---- what goes wrong ------------------------------------------------------------------------------------
-  void trouble(rehearsal::TroubleKind kind) override {
+  void record_fault(rehearsal::FaultKind kind) override {
     recorder_.write(loop_.now(), "trouble", fmt::format(R"("kind":"{}")", rehearsal::name_of(kind)));
   }
-  void tell_engine(unsigned i, const std::string& line) override {
+  void command_engine(unsigned i, const std::string& line) override {
     engines_[i]->process().run([engine = engines_[i].get(), line] { engine->command(line); });
   }
   void kill_engine(unsigned i) override {
@@ -181,8 +181,8 @@
     entries_[i].state = state;
     list_.set(entries_);
   }
-  void list_late(Time by) override { list_.late(by); }
-  void list_away(bool is) override { list_.away(is); }
+  void delay_list(Time by) override { list_.late(by); }
+  void set_list_unavailable(bool is) override { list_.away(is); }
   void stop_gateway(unsigned i) override {
     record("gateway_stopped", "gw", i);
     gateways_[i]->process().stop();
@@ -200,16 +200,16 @@
     gateways_[i]->on_ready([this, i] { record("gateway_ready", "gw", i); });
     gateways_[i]->begin();
   }
-  void drift_gateway(unsigned i, double rate) override {
+  void set_gateway_clock_rate(unsigned i, double rate) override {
     gateways_[i]->clocks().run(rate);
     recorder_.write(loop_.now(), "clock_runs", fmt::format(R"("gw":"gw-{}","rate":{})", i, rate));
   }
-  void step_gateway(unsigned i, Time ahead) override {
+  void set_gateway_clock_offset(unsigned i, Time ahead) override {
     gateways_[i]->clocks().stepped = ahead;
     recorder_.write(loop_.now(), "clock_stepped",
                     fmt::format(R"("gw":"gw-{}","ms":{})", i, milliseconds(ahead)));
   }
-  void groups(const std::string& plan) override {
+  void apply_group_plan(const std::string& plan) override {
     for (const auto& [name, text] : day_.group_plans)
       if (name == plan)
         for (auto& gateway : gateways_) gateway->reload_groups(text);
--- a/src/emulator/play.hpp
+++ b/src/emulator/play.hpp
@@ -8,7 +8,7 @@
 
 #include "emulator/network.hpp"
 #include "emulator/policy.hpp"
-#include "rehearsal/engine_control_channel.hpp"
+#include "rehearsal/client_request.hpp"
 #include "rehearsal/plan.hpp"
 
 namespace heronwell::emulator {
@@ -19,7 +19,7 @@
   std::uint64_t events = 0;
   std::vector<std::string> left;     // what routers still had long after the last request; none is right
   std::vector<rehearsal::Ask> asks;  // that came, and what became of each
-  std::vector<rehearsal::AttemptFate> fates;
+  std::vector<rehearsal::RequestOutcome> fates;
 };
 
 // `messages`: the fast fidelity.
--- a/src/emulator/swarm.cpp
+++ b/src/emulator/swarm.cpp
@@ -20,7 +20,7 @@
 namespace heronwell::emulator {
 namespace {
 
-using rehearsal::TroubleKind;
+using rehearsal::FaultKind;
 
 class RandomSource {
  public:
@@ -37,8 +37,8 @@
 };
 
 // How large a trouble of this kind may be.
-std::pair<double, double> sizes(TroubleKind kind) {
-  using enum TroubleKind;
+std::pair<double, double> sizes(FaultKind kind) {
+  using enum FaultKind;
   switch (kind) {
     case engine_slow:
     case engine_age:
@@ -68,8 +68,8 @@
 
 YAML::Node draw_trouble(RandomSource& dice, unsigned gateways, unsigned engines, double length_ms) {
   // All kinds but a flood and a change of groups, which need tenants and plans.
-  auto kind = static_cast<TroubleKind>(dice.whole(0, static_cast<unsigned>(TroubleKind::hang_ups)));
-  if (kind == TroubleKind::flood) kind = TroubleKind::burst;
+  auto kind = static_cast<FaultKind>(dice.whole(0, static_cast<unsigned>(FaultKind::hang_ups)));
+  if (kind == FaultKind::flood) kind = FaultKind::burst;
   YAML::Node trouble;
   trouble["kind"] = std::string(rehearsal::name_of(kind));
   const double at = dice.part(0, 0.7 * length_ms);
@@ -77,10 +77,10 @@
   trouble["for"] = milliseconds_text(dice.part(0.02, 0.28) * length_ms);
   const auto [least, most] = sizes(kind);
   trouble["size"] = fmt::format("{:.3f}", dice.part(least, most));
-  const bool of_gateways = kind == TroubleKind::gateway_stop || kind == TroubleKind::gateway_kill ||
-                           kind == TroubleKind::busy_gateway || kind == TroubleKind::clock_drift ||
-                           kind == TroubleKind::clock_step;
-  const unsigned many = of_gateways ? gateways : kind <= TroubleKind::loads_late ? engines : 0;
+  const bool of_gateways = kind == FaultKind::gateway_stop || kind == FaultKind::gateway_kill ||
+                           kind == FaultKind::busy_gateway || kind == FaultKind::clock_drift ||
+                           kind == FaultKind::clock_step;
+  const unsigned many = of_gateways ? gateways : kind <= FaultKind::loads_late ? engines : 0;
   if (many == 0) return trouble;
   const bool all = dice.whole(0, 7) == 0;
   const auto one = dice.whole(0, many - 1);
@@ -160,8 +160,8 @@
   const auto audit = rehearsal::audit(records);
   std::filesystem::remove_all(records);
   tried.cases = audit.checked();
-  if (!audit.breaks.empty()) {
-    const auto& first = audit.breaks.front();
+  if (!audit.violations.empty()) {
+    const auto& first = audit.violations.front();
     tried.broken = fmt::format("rule {}: request {}, {}, {}: {}", first.rule, first.request, first.gateway,
                                first.engine, first.what);
   } else if (!audit.unreliable.empty()) {
--- a/src/emulator/transport.cpp
+++ b/src/emulator/transport.cpp
@@ -32,10 +32,10 @@
         engine_.process(),
         [self = shared_from_this(), name, grant_mb, priority] {
           if (self->left_) return;
-          if (self->engine_.core()->tipped()) return self->refused();
+          if (self->engine_.core()->crashed()) return self->refused();
           self->engine_life_ = self->engine_.process().life();
-          auto session =
-              self->engine_.core()->ask(self, name, self->attempt_->statement->text, grant_mb, priority);
+          auto session = self->engine_.core()->execute_message(self, name, self->attempt_->statement->text,
+                                                               grant_mb, priority);
           if (!self->answered_) self->session_ = std::move(session);
         },
         [self = shared_from_this()] { self->refused(); });
@@ -51,14 +51,14 @@
   // The gateway is through with it: its connection ends.
   void leave() {
     left_ = true;
-    at_engine([self = shared_from_this()] { self->engine_.core()->over(self->session_); });
+    at_engine([self = shared_from_this()] { self->engine_.core()->connection_closed(self->session_); });
   }
 
   // ---- at the engine --------------------------------------------------------------------------------------
   void send(std::string, std::function<void()>) override {}
-  void add(std::string_view) override {}
-  [[nodiscard]] bool by_message() const override { return true; }
-  void note(std::string_view code, std::string text) override {
+  void send_notice(std::string_view) override {}
+  [[nodiscard]] bool uses_messages() const override { return true; }
+  void notice(std::string_view code, std::string text) override {
     at_gateway([self = shared_from_this(), code = std::string(code), text = std::move(text)] {
       self->carrier_.shard_->report_progress(self->attempt_, {"NOTICE", code, text});
     });
--- a/src/experiment/run.cpp
+++ b/src/experiment/run.cpp
@@ -25,7 +25,7 @@
   row.key = key_of(plan, run);
   row.x = x_of(plan, run);
   row.score = score_of(day, played);
-  for (const auto& t : day.troubles)
+  for (const auto& t : day.faults)
     row.troubles.push_back({std::string(rehearsal::name_of(t.kind)), seconds(t.at), seconds(t.length)});
   row.events = played.events;
   row.virtual_s = seconds(played.virtual_time);
--- a/src/experiment/score.cpp
+++ b/src/experiment/score.cpp
@@ -13,7 +13,7 @@
 
 double seconds(Time t) { return std::chrono::duration<double>(t).count(); }
 
-void count(Tally& tally, const ClassSettings& cls, double share, const rehearsal::AttemptFate& fate) {
+void count(Tally& tally, const ClassSettings& cls, double share, const rehearsal::RequestOutcome& fate) {
   ++tally.asked;
   ++(fate.took      ? (share == 1 ? tally.in_time : tally.late)
      : fate.failed  ? tally.failed
@@ -76,8 +76,8 @@
 
 // Whether nothing else befalls that engine meanwhile, which might end this trouble early.
 bool alone(const rehearsal::Day& day, const rehearsal::Fault& t, unsigned engine) {
-  using enum rehearsal::TroubleKind;
-  return std::ranges::none_of(day.troubles, [&](const rehearsal::Fault& other) {
+  using enum rehearsal::FaultKind;
+  return std::ranges::none_of(day.faults, [&](const rehearsal::Fault& other) {
     const bool strikes = other.kind == engine_kill || other.kind == engine_hang ||
                          other.kind == engine_slow || other.kind == engine_age ||
                          other.kind == engine_noise || other.kind == engine_taken;
@@ -89,8 +89,8 @@
 // Work that the engines can do in each bin: none of one that is dead or hangs, less of a slow one.
 std::vector<double> capacity(const rehearsal::Day& day, std::size_t bins, double bin, double each) {
   std::vector<double> out(bins, each * day.engines * bin);
-  for (const auto& t : day.troubles) {
-    using enum rehearsal::TroubleKind;
+  for (const auto& t : day.faults) {
+    using enum rehearsal::FaultKind;
     const bool away = t.kind == engine_kill || t.kind == engine_hang;
     if (!away && (t.kind != engine_slow || t.size <= 1)) continue;
     const double lost = each * (away ? 1 : 1 - 1 / t.size) *
--- a/src/rehearsal/audit.cpp
+++ b/src/rehearsal/audit.cpp
@@ -13,7 +13,7 @@
 #include <ranges>
 #include <set>
 
-#include "rehearsal/engine_control_channel.hpp"
+#include "rehearsal/client_request.hpp"
 #include "rehearsal/plan.hpp"
 
 namespace heronwell::rehearsal {
@@ -109,8 +109,8 @@
   void broke(unsigned rule, const std::string& id, const std::string& gateway, const std::string& engine,
              Nanos at, const std::string& what) {
     ++audit_.broken[rule - 1];
-    if (audit_.breaks.size() < kMostBreaks)
-      audit_.breaks.push_back({rule, id, gateway, engine, static_cast<double>(at - start_) / 1e9, what});
+    if (audit_.violations.size() < kMostBreaks)
+      audit_.violations.push_back({rule, id, gateway, engine, static_cast<double>(at - start_) / 1e9, what});
   }
   void checked(unsigned rule, std::uint64_t cases = 1) { audit_.cases[rule - 1] += cases; }
 
@@ -436,7 +436,7 @@
           sum -= sends[first++].work;
         const double able =
             day_.settings.slow_start_overload_ratio * day_.traits.cores * sends[i].warmth * window;
-        audit_.highest_cold = std::max(audit_.highest_cold, sum / able);
+        audit_.highest_cold_load_ratio = std::max(audit_.highest_cold_load_ratio, sum / able);
         if (sum > able + sends[i].work)
           broke(4, "", "", engine, sends[i].at, "more than tips a cold engine over");
       }
@@ -611,13 +611,14 @@
   std::string out = fmt::format("{:<5}{:<32}{:>10}{:>8}\n", "rule", "", "checked", "breaks");
   for (std::size_t i = 0; i < 7; ++i)
     out += fmt::format("{:<5}{:<32}{:>10}{:>8}\n", i + 1, names[i], a.cases[i], a.broken[i]);
-  for (const auto& b : a.breaks)
+  for (const auto& b : a.violations)
     out += fmt::format("broken: rule {} at {:.3f} s, request {}, gateway {}, engine {}: {}\n", b.rule, b.at,
                        b.request.empty() ? "-" : b.request, b.gateway.empty() ? "-" : b.gateway,
                        b.engine.empty() ? "-" : b.engine, b.what);
   for (const auto& what : a.unreliable) out += "unreliable: " + what + "\n";
-  if (a.highest_cold > 0)
-    out += fmt::format("cold engines got {:.0f}% of what tips them at most\n", 100 * a.highest_cold);
+  if (a.highest_cold_load_ratio > 0)
+    out +=
+        fmt::format("cold engines got {:.0f}% of what tips them at most\n", 100 * a.highest_cold_load_ratio);
   out += fmt::format("\n{:<16}{:>8}{:>9}{:>7}{:>9}{:>8}{:>7}{:>15}{:>11}{:>8}\n", "worth", "asked", "in time",
                      "late", "refused", "failed", "lost", "served/asked", "engine s", "share");
   const auto rows = [&](const std::vector<WorthRow>& all) {
--- a/src/rehearsal/audit.hpp
+++ b/src/rehearsal/audit.hpp
@@ -9,7 +9,7 @@
 
 namespace heronwell::rehearsal {
 
-struct Break {
+struct RuleViolation {
   unsigned rule = 0;  // 1 to 7
   std::string request, gateway, engine;
   double at = 0;  // seconds from the day's start
@@ -26,10 +26,10 @@
 
 struct Audit {
   std::array<std::uint64_t, 7> cases{}, broken{};
-  std::vector<Break> breaks;            // the first hundred
-  std::vector<std::string> unreliable;  // records cut short, or that contradict each other
+  std::vector<RuleViolation> violations;  // the first hundred
+  std::vector<std::string> unreliable;    // records cut short, or that contradict each other
   std::vector<WorthRow> classes, tenants;
-  double highest_cold = 0;  // work sent to a cold engine, as a share of what tips it
+  double highest_cold_load_ratio = 0;  // work sent to a cold engine, as a share of what tips it
   [[nodiscard]] bool kept() const;
   [[nodiscard]] std::uint64_t checked() const;
 };
--- a/src/rehearsal/engine_control_channel.cpp
+++ b/src/rehearsal/client_request.cpp
@@ -1,4 +1,4 @@
-#include "rehearsal/engine_control_channel.hpp"
+#include "rehearsal/client_request.hpp"
 
 #include <fmt/format.h>
 
@@ -38,11 +38,11 @@
       r.sent, r.served, r.refused, r.failed, r.other, r.broken, r.unconnected, r.hung_up, r.resent);
 }
 
-EngineControlChannel talk_of(const Day& day, const Ask& ask, unsigned retry) {
+ClientRequest client_request_of(const Day& day, const Ask& ask, unsigned retry) {
   const auto& cls = day.settings.classes[ask.cls];
   const auto& load = day.loads[ask.cls];
   const auto id = retry == 0 ? fmt::format("q{}", ask.number) : fmt::format("q{}.{}", ask.number, retry);
-  EngineControlChannel talk;
+  ClientRequest talk;
   // By GraphQL one request is several statements, each with an id of its own in the records.
   talk.ids = {id};
   for (unsigned i = 1; i < load.fields; ++i) talk.ids.push_back(fmt::format("{}~{}", id, i));
@@ -66,22 +66,25 @@
       R"("gw":"gw-{}","cls":"{}","tenant":{},"key":{},"group":{},"deadline_ms":{},"work_ms":{:.3f},"first":"q{}")",
       ask.gateway, cls.name, ask.tenant, ask.key, ask.group, timeout, ask.work_ms, ask.number);
   talk.hangs_up = ask.hang_up.has_value();
-  talk.longest = ask.hang_up && retry == 0 ? *ask.hang_up : deadline + kPatience;
+  talk.time_limit = ask.hang_up && retry == 0 ? *ask.hang_up : deadline + kGiveUpDelay;
   return talk;
 }
 
-Heard heard_of(const Day& day, const Ask& ask, int status, const std::string& outcome, Time pause) {
-  Heard heard;
+ParsedAnswer parsed_answer_of(const Day& day, const Ask& ask, int status, const std::string& outcome,
+                              Time pause) {
+  ParsedAnswer heard;
   heard.statements.push_back({status, outcome});
-  heard.again = outcome == "refused" ||
-                (outcome == "failed" && day.settings.classes[ask.cls].idempotency == Idempotency::idempotent);
+  heard.may_retry =
+      outcome == "refused" ||
+      (outcome == "failed" && day.settings.classes[ask.cls].idempotency == Idempotency::idempotent);
   heard.pause = pause > Time::zero() ? pause : kUsualPause;
   return heard;
 }
 
-Heard hear(const Day& day, const Ask& ask, std::size_t statements, int status, const std::string& body) {
+ParsedAnswer parse_answer(const Day& day, const Ask& ask, std::size_t statements, int status,
+                          const std::string& body) {
   const bool graphql = day.loads[ask.cls].fields > 0;
-  Heard heard;
+  ParsedAnswer heard;
   const auto json =
       status == 200 && !graphql ? nlohmann::json() : nlohmann::json::parse(body, nullptr, false);
   if (graphql) {
@@ -93,8 +96,9 @@
     return heard;
   }
   const auto outcome = status == 200 ? "served" : json.is_object() ? json.value("outcome", "?") : "?";
-  return heard_of(day, ask, status, outcome,
-                  json.is_object() ? json.value("retry_after_ms", std::int64_t{0}) * 1ms : Time::zero());
+  return parsed_answer_of(
+      day, ask, status, outcome,
+      json.is_object() ? json.value("retry_after_ms", std::int64_t{0}) * 1ms : Time::zero());
 }
 
 double share_of_worth(const ClassSettings& cls, double work_ms, std::optional<Time> took) {
@@ -105,7 +109,7 @@
   return *took <= aim ? 1 : cls.late_weight_ratio;
 }
 
-void count(const Heard& heard, LoadReport& report) {
+void count(const ParsedAnswer& heard, LoadReport& report) {
   for (const auto& one : heard.statements)
     ++(one.outcome == "served"    ? report.served
        : one.outcome == "refused" ? report.refused
@@ -113,7 +117,7 @@
                                   : report.other);
 }
 
-std::string answer_record(const Heard::One& one, Time took, std::uint64_t bytes) {
+std::string answer_record(const ParsedAnswer::One& one, Time took, std::uint64_t bytes) {
   return fmt::format(R"("status":{},"outcome":"{}","ms":{:.3f},"bytes":{})", one.status, one.outcome,
                      milliseconds(took), bytes);
 }
--- a/src/rehearsal/engine_control_channel.hpp
+++ b/src/rehearsal/client_request.hpp
@@ -10,7 +10,7 @@
 
 namespace heronwell::rehearsal {
 
-inline constexpr Time kPatience = std::chrono::seconds(5);  // past its deadline, before a client gives up
+inline constexpr Time kGiveUpDelay = std::chrono::seconds(5);  // past its deadline, before a client gives up
 
 struct LoadReport {
   std::uint64_t sent = 0, served = 0, refused = 0, failed = 0, other = 0, broken = 0, unconnected = 0,
@@ -20,39 +20,41 @@
 std::string text_of(const LoadReport& report);  // for people, but for the lateness
 
 // A request as it goes out.
-struct EngineControlChannel {
+struct ClientRequest {
   std::vector<std::string> ids;  // of its statements, one each
   std::string bytes;
   std::string body, timeout;  // of `bytes`; timeout: of its heronwell-timeout-ms, empty: none
   std::string record;         // the fields of its "sent"
-  Time longest{};             // after sending, before the client hangs up or gives up
+  Time time_limit{};          // after sending, before the client hangs up or gives up
   bool hangs_up = false;
 };
-EngineControlChannel talk_of(const Day& day, const Ask& ask, unsigned retry);
+ClientRequest client_request_of(const Day& day, const Ask& ask, unsigned retry);
 
 // What a whole answer says.
-struct Heard {
+struct ParsedAnswer {
   struct One {
     int status = 0;
     std::string outcome;
   };
   std::vector<One> statements;  // as Talk::ids
-  bool again = false;           // the client may try once more, after
+  bool may_retry = false;       // the client may try once more, after
   Time pause{};
   bool unknown = false;  // by GraphQL: a statement may have run
 };
 // The same of an answer to one statement that came as a message; `pause`: zero: none told.
-Heard heard_of(const Day& day, const Ask& ask, int status, const std::string& outcome, Time pause);
-Heard hear(const Day& day, const Ask& ask, std::size_t statements, int status, const std::string& body);
+ParsedAnswer parsed_answer_of(const Day& day, const Ask& ask, int status, const std::string& outcome,
+                              Time pause);
+ParsedAnswer parse_answer(const Day& day, const Ask& ask, std::size_t statements, int status,
+                          const std::string& body);
 // What became of an arrival, over its client's tries.
-struct AttemptFate {
+struct RequestOutcome {
   std::optional<Time> took;  // until it was served, since it was first sent
   bool refused = false, failed = false;
 };
 // The part of a query's worth that an answer earns which took so long; nullopt: none came.
 double share_of_worth(const ClassSettings& cls, double work_ms, std::optional<Time> took);
-void count(const Heard& heard, LoadReport& report);
+void count(const ParsedAnswer& heard, LoadReport& report);
 // The fields of an "answer".
-std::string answer_record(const Heard::One& one, Time took, std::uint64_t bytes);
+std::string answer_record(const ParsedAnswer::One& one, Time took, std::uint64_t bytes);
 
 }  // namespace heronwell::rehearsal
--- a/src/rehearsal/day.cpp
+++ b/src/rehearsal/day.cpp
@@ -76,12 +76,12 @@
     write_list();
     list_ = Process({program_, "list", folder_ + "/list.yaml", "--record", folder_ + "/list.jsonl"},
                     folder_ + "/list.log");
-    list_port_ = port_of(list_.line(kStart));
+    list_port_ = port_of(list_.read_line(kStart));
     peers_ = free_udp_ports(day_.gateways);
     if (!day_.group_plans.empty()) write_groups(day_.group_plans.front().first);
     std::ofstream(folder_ + "/key") << "a day's key is no secret: 0123456789abcdef\n";
     for (unsigned i = 0; i < day_.gateways; ++i) start_gateway(i, 0);
-    for (unsigned i = 0; i < day_.gateways; ++i) ports_[i] = port_of(gateways_[i].line(kStart));
+    for (unsigned i = 0; i < day_.gateways; ++i) ports_[i] = port_of(gateways_[i].read_line(kStart));
     const auto steps = schedule(day_, *this);
     start_ = steady_clock_now() + 500ms;
     std::string targets;
@@ -93,14 +93,14 @@
       std::this_thread::sleep_until(std::chrono::steady_clock::time_point(start_ + at));
       step();
     }
-    const auto report = read_report(clients.line(day_.length + day_.tail + 120s));
+    const auto report = read_report(clients.read_line(day_.length + day_.tail + 120s));
     if (clients.wait() != 0) throw std::runtime_error("the clients failed: see clients.log");
     std::this_thread::sleep_for(day_.tail);
     join();
     for (auto& gateway : gateways_) end(gateway, "a router");
     end(list_, "the list");
     for (auto& engine : engines_) end(engine, "an engine");
-    recorder_.whole(steady_clock_now());
+    recorder_.write_end(steady_clock_now());
     return report;
   }
 
@@ -145,10 +145,10 @@
                                        "--disks",        fmt::format("{}", t.disks),
                                        "--memory-mb",    fmt::format("{}", t.memory_mb),
                                        "--sessions",     std::to_string(t.sessions),
-                                       "--cold-from",    fmt::format("{}", t.cold_from),
-                                       "--ramp",         fmt::format("{}ns", t.ramp.count()),
-                                       "--tip-multiple", fmt::format("{}", t.tip_multiple),
-                                       "--tip-window",   fmt::format("{}ns", t.tip_window.count()),
+                                       "--cold-from",    fmt::format("{}", t.cold_capacity_ratio),
+                                       "--ramp",         fmt::format("{}ns", t.warm_up_duration.count()),
+                                       "--tip-multiple", fmt::format("{}", t.overload_ratio),
+                                       "--tip-window",   fmt::format("{}ns", t.overload_window.count()),
                                        "--progress",     fmt::format("{}ns", day_.progress.count()),
                                        "--seed",         std::to_string(day_.seed + i),
                                        "--record",       folder_ + "/" + name + ".jsonl"};
@@ -161,7 +161,7 @@
     auto& entry = entries_[i];
     entry.name = name;
     entry.host = "127.0.0.1";
-    entry.port = port_of(engines_[i].line(kStart));
+    entry.port = port_of(engines_[i].read_line(kStart));
     entry.zone = day_.names.zones[zone_of(day_, i)];
     entry.machine_type = day_.names.machine_types[kind_of(day_, i)];
     entry.started_ms = cold ? unix_ms() : 0;
@@ -169,7 +169,7 @@
 
   void start_gateway(unsigned i, std::uint16_t port) {
     const auto file = fmt::format("{}/gw-{}.yaml", folder_, i);
-    auto config = router_of(day_, i);
+    auto config = router_config_of(day_, i);
     config["listen"]["port"] = port;
     YAML::Node at;
     at["port"] = list_port_;
@@ -215,10 +215,10 @@
   }
 
   // ---- what goes wrong ------------------------------------------------------------------------------------
-  void trouble(TroubleKind kind) override {
+  void record_fault(FaultKind kind) override {
     recorder_.write(steady_clock_now(), "trouble", fmt::format(R"("kind":"{}")", name_of(kind)));
   }
-  void tell_engine(unsigned i, const std::string& line) override { engines_[i].say(line); }
+  void command_engine(unsigned i, const std::string& line) override { engines_[i].write_line(line); }
   void kill_engine(unsigned i) override {
     engines_[i].signal(SIGKILL);
     engines_[i].wait();
@@ -240,8 +240,8 @@
     entries_[i].state = state;
     write_list();
   }
-  void list_late(Time by) override { list_.say(fmt::format("late_ms {}", milliseconds(by))); }
-  void list_away(bool is) override { list_.say(is ? "away 1" : "away 0"); }
+  void delay_list(Time by) override { list_.write_line(fmt::format("late_ms {}", milliseconds(by))); }
+  void set_list_unavailable(bool is) override { list_.write_line(is ? "away 1" : "away 0"); }
   void stop_gateway(unsigned i) override {
     record("gateway_stopped", "gw", i);
     gateways_[i].signal(SIGSTOP);
@@ -260,14 +260,14 @@
     start_gateway(i, ports_[i]);
     await(i);
   }
-  void groups(const std::string& plan) override { write_groups(plan); }
+  void apply_group_plan(const std::string& plan) override { write_groups(plan); }
 
   // That a router is ready again, or never is, is a fact of the day: other troubles go on meanwhile.
   void await(unsigned i) {
     const auto longest = std::max<Time>(kStart, start_ + day_.length - steady_clock_now());
     awaited_[i] = std::thread([this, i, longest] {
       try {
-        (void)gateways_[i].line(longest);
+        (void)gateways_[i].read_line(longest);
         record("gateway_ready", "gw", i);
       } catch (const std::exception& error) {
         recorder_.write(steady_clock_now(), "gateway_not_ready",
@@ -296,8 +296,8 @@
     throw yaml::Error(
         fmt::format("{}:1:1: gateways.count: at most {} as real processes; more can be emulated", day.file,
                     kMostProcesses));
-  for (const auto& trouble : day.troubles)
-    if (trouble.kind == TroubleKind::clock_drift || trouble.kind == TroubleKind::clock_step)
+  for (const auto& trouble : day.faults)
+    if (trouble.kind == FaultKind::clock_drift || trouble.kind == FaultKind::clock_step)
       throw yaml::Error(
           fmt::format("{}:1:1: troubles: {}: the machine's clocks are not set; it can be emulated", day.file,
                       name_of(trouble.kind)));
--- a/src/rehearsal/engine.cpp
+++ b/src/rehearsal/engine.cpp
@@ -6,7 +6,7 @@
 
 namespace heronwell::rehearsal {
 
-struct Engine::Parts final : EngineWorld, std::enable_shared_from_this<Engine::Parts> {
+struct Engine::Parts final : EngineEnvironment, std::enable_shared_from_this<Engine::Parts> {
   struct Link final : EngineLink, std::enable_shared_from_this<Link> {
     Link(std::shared_ptr<Parts> engine, Socket from) : parts(std::move(engine)), socket(std::move(from)) {}
     void send(std::string bytes, std::function<void()> then) override {
@@ -14,12 +14,13 @@
       asio::async_write(socket, asio::buffer(*sending),
                         [self = shared_from_this(), kept = sending, then = std::move(then)](
                             boost::system::error_code error, std::size_t) {
-                          if (error && self->session) return self->parts->core.over(self->session);
+                          if (error && self->session)
+                            return self->parts->core.connection_closed(self->session);
                           if (error) return;
                           then();
                         });
     }
-    void add(std::string_view bytes) override {
+    void send_notice(std::string_view bytes) override {
       boost::system::error_code ignored;
       socket.write_some(asio::buffer(bytes), ignored);
     }
@@ -47,14 +48,14 @@
   }
 
   Time now() override { return steady_clock_now(); }
-  void wake(Clock which, Time at) override {
+  void set_timer(TimerKind which, Time at) override {
     auto& timer = timers[static_cast<std::size_t>(which)];
     timer.cancel();
     if (at == Time::max()) return;
     timer.expires_at(Timer::time_point(at));
     timer.async_wait([weak = weak_from_this(), which](boost::system::error_code error) {
       const auto self = weak.lock();
-      if (!error && self) self->core.woken(which);
+      if (!error && self) self->core.on_timer(which);
     });
   }
   void after(Time pause, std::function<void()> then) override {
@@ -63,7 +64,7 @@
     timer->async_wait(
         [timer, kept = shared_from_this(), then = std::move(then)](boost::system::error_code) { then(); });
   }
-  void died() override {
+  void stopped_listening() override {
     boost::system::error_code ignored;
     acceptor.close(ignored);
   }
@@ -91,7 +92,7 @@
           co_await link->socket.async_read_some(asio::buffer(chunk), asio::redirect_error(kToken, error));
       if (!error) core.received(link->session, {chunk.data(), got});
     }
-    core.over(link->session);
+    core.connection_closed(link->session);
     link->session = nullptr;  // which holds the link in turn
   }
 
@@ -110,7 +111,7 @@
 std::uint16_t Engine::port() const { return parts_->acceptor.local_endpoint().port(); }
 void Engine::faults(const EngineFaults& faults) { parts_->core.faults(faults); }
 void Engine::kill() { parts_->core.kill(); }
-bool Engine::tipped() const { return parts_->core.tipped(); }
+bool Engine::tipped() const { return parts_->core.crashed(); }
 std::uint64_t Engine::began() const { return parts_->core.began(); }
 std::string Engine::command(const std::string& line) { return parts_->core.command(line); }
 
--- a/src/rehearsal/engine_core.cpp
+++ b/src/rehearsal/engine_core.cpp
@@ -186,11 +186,11 @@
 
 }  // namespace
 
-EngineCore::EngineCore(EngineWorld& world, EngineOptions options, Recorder& recorder)
-    : world_(world),
+EngineCore::EngineCore(EngineEnvironment& environment, EngineOptions options, Recorder& recorder)
+    : environment_(environment),
       options_(std::move(options)),
       recorder_(recorder),
-      model_(options_.traits, world.now(), options_.warm),
+      model_(options_.traits, environment.now(), options_.warm),
       random_(options_.seed),
       secrets_(options_.seed, 1) {}
 EngineCore::~EngineCore() = default;
@@ -202,7 +202,7 @@
 void EngineCore::start() { note(); }
 
 void EngineCore::record(std::string_view event, std::string_view fields) {
-  recorder_.write(world_.now(), event, fields);
+  recorder_.write(environment_.now(), event, fields);
 }
 void EngineCore::record(std::string_view event, const Session& c, std::string_view id) {
   record(event, fmt::format(R"("id":"{}","gw":"{}","conn":{})", id, c.gateway, c.process));
@@ -255,14 +255,14 @@
   });
 }
 
-void EngineCore::over(SessionPtr c) { close(std::move(c), false); }
+void EngineCore::connection_closed(SessionPtr c) { close(std::move(c), false); }
 
 void EngineCore::close(SessionPtr c, bool reset) {
   if (std::exchange(c->closed, true)) return;
   std::exchange(c->link, nullptr)->close(reset);  // which holds the session in turn
   if (c->job != 0) {
     record("dropped", *c, c->request.id);
-    model_.remove(world_.now(), c->job);
+    model_.remove(environment_.now(), c->job);
     jobs_.erase(c->job);
     c->job = 0;
     arm();
@@ -308,7 +308,7 @@
   sql::put_key(out, c->process, c->secret);
   sql::put_ready(out);
   if (faults_.slow_start <= Time::zero()) return send(c, std::move(out), [] {});
-  world_.after(faults_.slow_start, [this, c, out = std::move(out)] {
+  environment_.after(faults_.slow_start, [this, c, out = std::move(out)] {
     if (!c->closed) send(c, out, [] {});
   });
 }
@@ -326,14 +326,15 @@
   if (c->closed) return;
   record("cancel", *c, c->busy ? c->request.id : "-");
   if (!c->busy || c->job == 0) return;
-  model_.remove(world_.now(), c->job);
+  model_.remove(environment_.now(), c->job);
   jobs_.erase(c->job);
   fail(c, "57014", "canceling statement due to user request");
   arm();
 }
 
-EngineCore::SessionPtr EngineCore::ask(std::shared_ptr<EngineLink> link, const std::string& gateway,
-                                       std::string statement, double grant_mb, unsigned priority) {
+EngineCore::SessionPtr EngineCore::execute_message(std::shared_ptr<EngineLink> link,
+                                                   const std::string& gateway, std::string statement,
+                                                   double grant_mb, unsigned priority) {
   auto c = open(std::move(link));
   c->gateway = gateway;
   c->process = ++processes_;
@@ -348,7 +349,7 @@
 void EngineCore::answer(const SessionPtr& c, std::string_view code, std::string cost) {
   c->job = 0;
   c->busy = false;
-  c->link->ended(options_.tells_load ? load_text() : "", code, std::move(cost));
+  c->link->ended(options_.reports_load ? load_text() : "", code, std::move(cost));
   close(c, false);
 }
 
@@ -369,7 +370,7 @@
   job.id = ++ids_;
   job.grant_mb = c->grant_mb;
   job.priority = c->priority;
-  const auto now = world_.now();
+  const auto now = environment_.now();
   settle(now);
   if (!model_.add(now, job)) return turn_away(c);
   ++begun_;
@@ -381,7 +382,7 @@
           job.priority));
   c->job = job.id;
   jobs_[job.id] = c;
-  if (model_.tipped()) {
+  if (model_.crashed()) {
     record("tipped", "");
     return kill();
   }
@@ -418,7 +419,7 @@
 void EngineCore::fail(const SessionPtr& c, std::string_view code, std::string_view message) {
   record("error", fmt::format(R"("id":"{}","gw":"{}","code":"{}")", c->request.id, c->gateway, code));
   c->job = 0;
-  if (c->link->by_message()) return answer(c, code, "");
+  if (c->link->uses_messages()) return answer(c, code, "");
   std::string out;
   tell_load(out);
   sql::put_error(out, {"ERROR", code, message});
@@ -430,7 +431,7 @@
 }
 
 std::string EngineCore::load_text() {
-  const auto now = world_.now();
+  const auto now = environment_.now();
   loads_.emplace_back(
       now, fmt::format("inflight={} util={:.3f} queue=0 memory_share={:.3f} disk_share={:.3f}",
                        model_.running(), model_.busy(), model_.memory_used(), model_.disks_busy()));
@@ -439,7 +440,7 @@
 }
 
 void EngineCore::tell_load(std::string& out) {
-  if (options_.tells_load) sql::put_parameter(out, "heronwell.load", load_text());
+  if (options_.reports_load) sql::put_parameter(out, "heronwell.load", load_text());
 }
 
 // The work is done: the answer goes out, or what the fault makes of it.
@@ -461,11 +462,11 @@
   c->rows_left = request.no_rows ? 0 : request.rows * request.each.size();
   c->rows_sent = 0;
   c->cut = !request.plain && chance(faults_.cut);
-  if (c->link->by_message()) {
+  if (c->link->uses_messages()) {
     if (c->cut) return record("cut", *c, request.id), close(c, true);
     if (request.late_error) return fail(c, request.error, "late");
     if (!request.plain) record("sent", *c, request.id);
-    return answer(c, "", options_.tells_cost && !request.plain ? cost_of(request) : "");
+    return answer(c, "", options_.reports_cost && !request.plain ? cost_of(request) : "");
   }
   std::string out;
   tell_load(out);
@@ -490,7 +491,7 @@
   if (c->rows_left > 0) return send(c, std::move(out), [this, c] { rows(c, {}); });
   if (c->cut) return send(c, std::move(out), [this, c] { record("cut", *c, c->request.id), close(c, true); });
   if (c->request.late_error) return send(c, std::move(out), [this, c] { fail(c, c->request.error, "late"); });
-  if (options_.tells_cost && !c->request.plain)
+  if (options_.reports_cost && !c->request.plain)
     sql::put_notice(out, {"NOTICE", "01H04", cost_of(c->request)});
   sql::put_complete(out, fmt::format("{} {}", c->request.tag == "INSERT" ? "INSERT 0" : c->request.tag,
                                      c->request.no_rows ? c->request.rows : c->rows_sent));
@@ -523,30 +524,30 @@
     close(c, true);
   }
   jobs_.clear();
-  world_.wake(EngineWorld::Clock::work, Time::max());
-  world_.wake(EngineWorld::Clock::notes, Time::max());
-  world_.died();
+  environment_.set_timer(EngineEnvironment::TimerKind::work, Time::max());
+  environment_.set_timer(EngineEnvironment::TimerKind::progress, Time::max());
+  environment_.stopped_listening();
 }
 
 void EngineCore::arm() {
-  if (listens_) world_.wake(EngineWorld::Clock::work, model_.next());
+  if (listens_) environment_.set_timer(EngineEnvironment::TimerKind::work, model_.next());
 }
 
-void EngineCore::woken(EngineWorld::Clock which) {
+void EngineCore::on_timer(EngineEnvironment::TimerKind which) {
   if (!listens_) return;
-  settle(world_.now());
-  if (which == EngineWorld::Clock::notes) {
+  settle(environment_.now());
+  if (which == EngineEnvironment::TimerKind::progress) {
     for (const auto& [id, c] : jobs_) {
-      const bool stands = model_.stands(id);
-      const std::string_view code = stands ? "01H03" : "01H01";
-      auto text = stands ? "load" : fmt::format("{:.3f}", model_.progress(id));
-      if (c->link->by_message()) {
-        c->link->note(code, std::move(text));
+      const bool waits = model_.waits_for_load(id);
+      const std::string_view code = waits ? "01H03" : "01H01";
+      auto text = waits ? "load" : fmt::format("{:.3f}", model_.progress(id));
+      if (c->link->uses_messages()) {
+        c->link->notice(code, std::move(text));
         continue;
       }
       std::string out;
       sql::put_notice(out, {"NOTICE", code, text});
-      c->link->add(out);  // nothing else is being written while it runs
+      c->link->send_notice(out);  // nothing else is being written while it runs
     }
     note();
   }
@@ -554,13 +555,14 @@
 }
 
 void EngineCore::note() {
-  if (options_.progress_pace > Time::zero())
-    world_.wake(EngineWorld::Clock::notes, world_.now() + options_.progress_pace);
+  if (options_.progress_interval > Time::zero())
+    environment_.set_timer(EngineEnvironment::TimerKind::progress,
+                           environment_.now() + options_.progress_interval);
 }
 
 void EngineCore::faults(const EngineFaults& faults) {
   faults_ = faults;
-  model_.slow(world_.now(), faults.slow);
+  model_.slow(environment_.now(), faults.slow);
   arm();
 }
 
--- a/src/rehearsal/engine_core.hpp
+++ b/src/rehearsal/engine_core.hpp
@@ -47,20 +47,20 @@
   Traits traits;
   bool warm = true;
   std::uint64_t seed = 1;
-  bool tells_load = true, tells_cost = true;
-  Time progress_pace{};  // 0: no notices
+  bool reports_load = true, reports_cost = true;
+  Time progress_interval{};  // 0: no notices
 };
 
 // What the core needs of the world outside. No call comes back from within one of these.
-class EngineWorld {
+class EngineEnvironment {
  public:
-  virtual ~EngineWorld() = default;
+  virtual ~EngineEnvironment() = default;
   [[nodiscard]] virtual Time now() = 0;
-  enum class Clock { work, notes };
-  // Calls woken() at that moment, in place of the one set before; Time::max(): never.
-  virtual void wake(Clock which, Time at) = 0;
+  enum class TimerKind { work, progress };
+  // Calls on_timer() at that moment, in place of the one set before; Time::max(): never.
+  virtual void set_timer(TimerKind which, Time at) = 0;
   virtual void after(Time pause, std::function<void()> then) = 0;
-  virtual void died() = 0;  // it has tipped over, or was killed: nobody listens any more
+  virtual void stopped_listening() = 0;  // it has tipped over, or was killed: nobody listens any more
 };
 
 // A connection as its other side sees it.
@@ -68,12 +68,12 @@
  public:
   virtual ~EngineLink() = default;
   virtual void send(std::string bytes, std::function<void()> then) = 0;  // then: once they have gone out
-  virtual void add(std::string_view bytes) = 0;                          // while nothing else is being sent
+  virtual void send_notice(std::string_view bytes) = 0;                  // while nothing else is being sent
   virtual void close(bool reset) = 0;
   // For a link that takes messages in place of bytes, one statement each: what is told while it runs, and its
   // end. `code`: of an error; empty: the whole answer.
-  [[nodiscard]] virtual bool by_message() const { return false; }
-  virtual void note(std::string_view /*code*/, std::string /*text*/) {}
+  [[nodiscard]] virtual bool uses_messages() const { return false; }
+  virtual void notice(std::string_view /*code*/, std::string /*text*/) {}
   virtual void ended(std::string /*load*/, std::string_view /*code*/, std::string /*cost*/) {}
 };
 
@@ -82,25 +82,25 @@
   struct Session;
   struct Request;
   using SessionPtr = std::shared_ptr<Session>;
-  // `world` and `recorder` outlive it.
-  EngineCore(EngineWorld& world, EngineOptions options, Recorder& recorder);
+  // `environment` and `recorder` outlive it.
+  EngineCore(EngineEnvironment& environment, EngineOptions options, Recorder& recorder);
   ~EngineCore();
 
   void listening(std::uint16_t port);  // to be recorded
   void start();                        // the world may be asked to wake it from here on
   [[nodiscard]] SessionPtr open(std::shared_ptr<EngineLink> link);
   void received(SessionPtr session, std::string_view bytes);
-  void over(SessionPtr session);
+  void connection_closed(SessionPtr session);
   // For links that take messages.
-  [[nodiscard]] SessionPtr ask(std::shared_ptr<EngineLink> link, const std::string& gateway,
-                               std::string statement, double grant_mb, unsigned priority);
+  [[nodiscard]] SessionPtr execute_message(std::shared_ptr<EngineLink> link, const std::string& gateway,
+                                           std::string statement, double grant_mb, unsigned priority);
   void cancel(const SessionPtr& session);
-  void woken(EngineWorld::Clock which);
+  void on_timer(EngineEnvironment::TimerKind which);
 
   void faults(const EngineFaults& faults);
   std::string command(const std::string& line);  // as Engine::command()
   void kill();
-  [[nodiscard]] bool tipped() const { return model_.tipped(); }
+  [[nodiscard]] bool crashed() const { return model_.crashed(); }
   [[nodiscard]] std::uint64_t began() const { return begun_; }
 
  private:
@@ -125,7 +125,7 @@
   void arm();
   void note();
 
-  EngineWorld& world_;
+  EngineEnvironment& environment_;
   EngineOptions options_;
   Recorder& recorder_;
   EngineModel model_;
--- a/src/rehearsal/fault_schedule.cpp
+++ b/src/rehearsal/fault_schedule.cpp
@@ -18,13 +18,13 @@
 
 std::multimap<Time, std::function<void()>> schedule(const Day& day, FaultTargets& actors) {
   std::multimap<Time, std::function<void()>> steps;
-  for (const auto& t : day.troubles) {
+  for (const auto& t : day.faults) {
     const auto begin = t.at, over = t.at + t.length;
     const auto at = [&](Time when, std::function<void()> what) { steps.emplace(when, std::move(what)); };
     const auto fault = [&](const char* word, double off) {
       for (const auto i : t.targets) {
-        at(begin, [&, i, line = fmt::format("{} {}", word, t.size)] { actors.tell_engine(i, line); });
-        at(over, [&, i, line = fmt::format("{} {}", word, off)] { actors.tell_engine(i, line); });
+        at(begin, [&, i, line = fmt::format("{} {}", word, t.size)] { actors.command_engine(i, line); });
+        at(over, [&, i, line = fmt::format("{} {}", word, off)] { actors.command_engine(i, line); });
       }
     };
     // For each target: what begins and what ends it.
@@ -34,8 +34,8 @@
         at(over, [&, i, off] { (actors.*off)(i); });
       }
     };
-    at(begin, [&] { actors.trouble(t.kind); });
-    using enum TroubleKind;
+    at(begin, [&] { actors.record_fault(t.kind); });
+    using enum FaultKind;
     switch (t.kind) {
       case engine_slow:
         fault("slow", 1);
@@ -62,12 +62,12 @@
         fault("late_loads_ms", 0);
         break;
       case list_late:
-        at(begin, [&] { actors.list_late(Time(static_cast<std::int64_t>(t.size * 1e6))); });
-        at(over, [&] { actors.list_late(Time::zero()); });
+        at(begin, [&] { actors.delay_list(Time(static_cast<std::int64_t>(t.size * 1e6))); });
+        at(over, [&] { actors.delay_list(Time::zero()); });
         break;
       case list_away:
-        at(begin, [&] { actors.list_away(true); });
-        at(over, [&] { actors.list_away(false); });
+        at(begin, [&] { actors.set_list_unavailable(true); });
+        at(over, [&] { actors.set_list_unavailable(false); });
         break;
       case engine_kill:
         strike(&FaultTargets::kill_engine, &FaultTargets::start_engine);
@@ -88,18 +88,18 @@
           for (const auto i : t.targets)
             at(begin + t.length * (step - 1) / kAges,
                [&, i, line = fmt::format("slow {:.3f}", 1 + (t.size - 1) * step / kAges)] {
-                 actors.tell_engine(i, line);
+                 actors.command_engine(i, line);
                });
-        for (const auto i : t.targets) at(over, [&, i] { actors.tell_engine(i, "slow 1"); });
+        for (const auto i : t.targets) at(over, [&, i] { actors.command_engine(i, "slow 1"); });
         break;
       case engine_noise:
         for (const auto i : t.targets) {
           pcg64 random(day.seed, i + 1);
           for (auto when = begin; when < over; when += kNoise)
             at(when, [&, i, line = fmt::format("slow {}", random() % 2 == 0 ? t.size : 1)] {
-              actors.tell_engine(i, line);
+              actors.command_engine(i, line);
             });
-          at(over, [&, i] { actors.tell_engine(i, "slow 1"); });
+          at(over, [&, i] { actors.command_engine(i, "slow 1"); });
         }
         break;
       case engine_taken: {
@@ -120,20 +120,22 @@
       case clock_drift:
         for (std::size_t n = 0; n < t.targets.size(); ++n) {
           const auto i = t.targets[n];
-          at(begin,
-             [&, i, rate = 1 + (n % 2 == 0 ? 1e-6 : -1e-6) * t.size] { actors.drift_gateway(i, rate); });
-          at(over, [&, i] { actors.drift_gateway(i, 1); });
+          at(begin, [&, i, rate = 1 + (n % 2 == 0 ? 1e-6 : -1e-6) * t.size] {
+            actors.set_gateway_clock_rate(i, rate);
+          });
+          at(over, [&, i] { actors.set_gateway_clock_rate(i, 1); });
         }
         break;
       case clock_step:
         for (const auto i : t.targets) {
-          at(begin, [&, i] { actors.step_gateway(i, Time(static_cast<std::int64_t>(t.size * 1e6))); });
-          at(over, [&, i] { actors.step_gateway(i, Time::zero()); });
+          at(begin,
+             [&, i] { actors.set_gateway_clock_offset(i, Time(static_cast<std::int64_t>(t.size * 1e6))); });
+          at(over, [&, i] { actors.set_gateway_clock_offset(i, Time::zero()); });
         }
         break;
       case groups_change:
-        at(begin, [&] { actors.groups(t.plan); });
-        at(over, [&] { actors.groups(day.group_plans.front().first); });
+        at(begin, [&] { actors.apply_group_plan(t.plan); });
+        at(over, [&] { actors.apply_group_plan(day.group_plans.front().first); });
         break;
       case burst:
       case flood:
@@ -147,7 +149,7 @@
   return steps;
 }
 
-YAML::Node router_of(const Day& day, unsigned gateway) {
+YAML::Node router_config_of(const Day& day, unsigned gateway) {
   YAML::Node config = YAML::Load(day.router);
   config["gateway"]["name"] = fmt::format("gw-{}", gateway);
   config["gateway"]["number"] = gateway;
--- a/src/rehearsal/fault_schedule.hpp
+++ b/src/rehearsal/fault_schedule.hpp
@@ -13,23 +13,23 @@
 class FaultTargets {
  public:
   virtual ~FaultTargets() = default;
-  virtual void trouble(TroubleKind kind) = 0;                              // one begins
-  virtual void tell_engine(unsigned engine, const std::string& line) = 0;  // as Engine::command()
+  virtual void record_fault(FaultKind kind) = 0;                              // one begins
+  virtual void command_engine(unsigned engine, const std::string& line) = 0;  // as Engine::command()
   virtual void kill_engine(unsigned engine) = 0;
   virtual void start_engine(unsigned engine) = 0;  // again, cold
   virtual void stop_engine(unsigned engine) = 0;   // for a while
   virtual void continue_engine(unsigned engine) = 0;
   virtual void mark_engine(unsigned engine, EndpointState state) = 0;  // in the list
-  virtual void list_late(Time by) = 0;
-  virtual void list_away(bool is) = 0;
+  virtual void delay_list(Time by) = 0;
+  virtual void set_list_unavailable(bool is) = 0;
   virtual void stop_gateway(unsigned gateway) = 0;
   virtual void continue_gateway(unsigned gateway) = 0;
   virtual void kill_gateway(unsigned gateway) = 0;
   virtual void start_gateway(unsigned gateway) = 0;  // again
-  virtual void groups(const std::string& plan) = 0;
+  virtual void apply_group_plan(const std::string& plan) = 0;
   // Where clocks can be set at all.
-  virtual void drift_gateway(unsigned gateway, double rate) { (void)gateway, (void)rate; }
-  virtual void step_gateway(unsigned gateway, Time ahead) { (void)gateway, (void)ahead; }
+  virtual void set_gateway_clock_rate(unsigned gateway, double rate) { (void)gateway, (void)rate; }
+  virtual void set_gateway_clock_offset(unsigned gateway, Time ahead) { (void)gateway, (void)ahead; }
 };
 
 // By the time from the day's start. `day` and `actors` outlive it. What is the clients' own (bursts, floods,
@@ -37,6 +37,6 @@
 std::multimap<Time, std::function<void()>> schedule(const Day& day, FaultTargets& actors);
 
 // The configuration of a day's router, YAML: all but its ports, its list and its peers.
-YAML::Node router_of(const Day& day, unsigned gateway);
+YAML::Node router_config_of(const Day& day, unsigned gateway);
 
 }  // namespace heronwell::rehearsal
--- a/src/rehearsal/list.cpp
+++ b/src/rehearsal/list.cpp
@@ -96,7 +96,7 @@
     http::put_response(out, 200, "application/json", body.size(), true,
                        {{"x-consul-index", std::to_string(index)}});
     out += body;
-    auto told = told_record(gateway, index, entries);
+    auto told = endpoint_list_record(gateway, index, entries);
     co_await asio::async_write(*socket, asio::buffer(out), asio::redirect_error(kToken, error));
     if (!error) recorder.write(steady_clock_now(), "told", told);
     co_return error;
@@ -133,11 +133,11 @@
     ++parts->index;
   });
 }
-void ListServer::late(Time by) { parts_->late = by; }
-void ListServer::away(bool is) {
-  parts_->away = is;
+void ListServer::set_delay(Time by) { parts_->late = by; }
+void ListServer::set_unavailable(bool unavailable) {
+  parts_->away = unavailable;
   boost::system::error_code ignored;
-  if (is)
+  if (unavailable)
     for (const auto& socket : parts_->sockets) socket->close(ignored);
 }
 
--- a/src/rehearsal/list.hpp
+++ b/src/rehearsal/list.hpp
@@ -23,8 +23,8 @@
   ~ListServer();
   [[nodiscard]] std::uint16_t port() const;
   void set(std::vector<fleet::EndpointEntry> entries);
-  void late(Time by);  // changes are told so much later
-  void away(bool is);  // closes what asks
+  void set_delay(Time by);                 // changes are told so much later
+  void set_unavailable(bool unavailable);  // closes what asks
 
  private:
   struct Parts;
--- a/src/rehearsal/list_record.hpp
+++ b/src/rehearsal/list_record.hpp
@@ -10,8 +10,8 @@
 
 namespace heronwell::rehearsal {
 
-inline std::string told_record(const std::string& gateway, std::uint64_t index,
-                               const std::vector<fleet::EndpointEntry>& entries) {
+inline std::string endpoint_list_record(const std::string& gateway, std::uint64_t index,
+                                        const std::vector<fleet::EndpointEntry>& entries) {
   std::string states;
   for (const auto& entry : entries)
     states += fmt::format(R"({}"{}":{{"state":{},"zone":"{}","kind":"{}","started_ms":{}}})",
--- a/src/rehearsal/load.cpp
+++ b/src/rehearsal/load.cpp
@@ -71,7 +71,7 @@
 
   asio::awaitable<void, Executor> request(const Ask& ask, unsigned retry) {
     const auto& cls = day_.settings.classes[ask.cls];
-    const auto talk = talk_of(day_, ask, retry);
+    const auto talk = client_request_of(day_, ask, retry);
     const auto& ids = talk.ids;
     const auto& id = ids.front();
     const auto each = [&](std::string_view event, const std::string& with = "") {
@@ -96,7 +96,7 @@
     ++report_.sent;
     each("sent", talk.record);
     const auto sent = steady_clock_now();
-    Timer limit(context_.get_executor(), at(sent + talk.longest));
+    Timer limit(context_.get_executor(), at(sent + talk.time_limit));
     bool gave_up = false;
     limit.async_wait([&gave_up, c](boost::system::error_code aborted) {
       if (aborted) return;
@@ -140,7 +140,7 @@
     }
     const int status = c->parser.status();
     const auto took = steady_clock_now() - sent;
-    const auto heard = hear(day_, ask, ids.size(), status, answer);
+    const auto heard = parse_answer(day_, ask, ids.size(), status, answer);
     count(heard, report_);
     for (std::size_t i = 0; i < ids.size(); ++i)
       write("answer", ids[i], answer_record(heard.statements[i], took, bytes));
@@ -162,7 +162,7 @@
       idle.push_back(c);
       watch(c, ask.gateway, id);
     }
-    if (!heard.again || retry >= day_.retries) co_return;
+    if (!heard.may_retry || retry >= day_.retries) co_return;
     Timer wait(context_.get_executor(), at(steady_clock_now() + heard.pause));
     co_await wait.async_wait(asio::redirect_error(kToken, error));
     spawn(ask, retry + 1);
@@ -174,7 +174,7 @@
     boost::system::error_code error;
     co_await asio::async_write(c->socket, asio::buffer(bytes), asio::redirect_error(kToken, error));
     std::array<char, 16384> chunk{};
-    Timer limit(context_.get_executor(), at(steady_clock_now() + kPatience));
+    Timer limit(context_.get_executor(), at(steady_clock_now() + kGiveUpDelay));
     limit.async_wait([c](boost::system::error_code aborted) {
       boost::system::error_code ignored;
       if (!aborted) c->socket.close(ignored);
--- a/src/rehearsal/load.hpp
+++ b/src/rehearsal/load.hpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "rehearsal/engine_control_channel.hpp"
+#include "rehearsal/client_request.hpp"
 #include "rehearsal/plan.hpp"
 #include "rehearsal/record.hpp"
 
--- a/src/rehearsal/model.cpp
+++ b/src/rehearsal/model.cpp
@@ -21,22 +21,23 @@
     : traits_(traits), started_(started), now_(started), warm_(warm) {}
 
 double EngineModel::warmth(Time now) const {
-  if (warm_ || traits_.ramp <= Time::zero()) return 1;
-  const double age = seconds(now - started_) / seconds(traits_.ramp);
-  return traits_.cold_from + (1 - traits_.cold_from) * std::clamp(age, 0.0, 1.0);
+  if (warm_ || traits_.warm_up_duration <= Time::zero()) return 1;
+  const double age = seconds(now - started_) / seconds(traits_.warm_up_duration);
+  return traits_.cold_capacity_ratio + (1 - traits_.cold_capacity_ratio) * std::clamp(age, 0.0, 1.0);
 }
 
 bool EngineModel::add(Time now, const Job& job) {
   std::vector<std::uint64_t> none;
   advance(now, none);
   // Work that reaches a cold engine counts against what it can do, also work that it turns away.
-  if (traits_.tip_multiple > 0 && warmth(now) < 1) {
+  if (traits_.overload_ratio > 0 && warmth(now) < 1) {
     sent_.emplace_back(now, job.work);
-    while (sent_.front().first <= now - traits_.tip_window) sent_.pop_front();
+    while (sent_.front().first <= now - traits_.overload_window) sent_.pop_front();
     double sum = 0;
     for (const auto& [at, work] : sent_) sum += work;
-    const double able = traits_.tip_multiple * traits_.cores * warmth(now) * seconds(traits_.tip_window);
-    if (sum > able + job.work) tipped_ = true;  // one query's slack
+    const double able =
+        traits_.overload_ratio * traits_.cores * warmth(now) * seconds(traits_.overload_window);
+    if (sum > able + job.work) crashed_ = true;  // one query's slack
   }
   if (jobs_.size() >= traits_.sessions) return false;
   double work = job.work;
@@ -87,7 +88,7 @@
     disk += weight * running.job.threads * running.job.io;
   }
   const double full = traits_.peak * traits_.cores;
-  const double lost = threads > full ? traits_.past_peak * (threads / full - 1) : 0;
+  const double lost = threads > full ? traits_.loss_past_peak * (threads / full - 1) : 0;
   const double swapped = std::max(1.0, memory_used());
   const double able = warmth(now_) / slow_ / (1 + lost) / (swapped * swapped);
   const double cores = traits_.cores * able, disks = traits_.disks * able;
@@ -136,7 +137,7 @@
   return std::clamp(1 - found->second.left / found->second.job.work, 0.0, 1.0);
 }
 
-bool EngineModel::stands(std::uint64_t id) const {
+bool EngineModel::waits_for_load(std::uint64_t id) const {
   const auto found = jobs_.find(id);
   return found != jobs_.end() && blocked(found->second);
 }
--- a/src/rehearsal/model.hpp
+++ b/src/rehearsal/model.hpp
@@ -17,13 +17,13 @@
   double cores = 4;
   double disks = 4;  // threads that read or write at full speed
   double memory_mb = 4096;
-  std::size_t sessions = 64;  // more are turned away
-  double peak = 1.7;          // threads a core up to which no work is lost
-  double past_peak = 0.25;    // share of work lost for each further peak's worth of threads
-  double cold_from = 0.3;     // share of capacity at a cold start
-  Time ramp{};                // until warm
-  double tip_multiple = 0;    // 0: never tips
-  Time tip_window{};
+  std::size_t sessions = 64;         // more are turned away
+  double peak = 1.7;                 // threads a core up to which no work is lost
+  double loss_past_peak = 0.25;      // share of work lost for each further peak's worth of threads
+  double cold_capacity_ratio = 0.3;  // share of capacity at a cold start
+  Time warm_up_duration{};           // until warm
+  double overload_ratio = 0;         // 0: never tips
+  Time overload_window{};
 };
 
 struct Job {
@@ -34,7 +34,7 @@
   double memory_mb = 0;  // that it needs
   double grant_mb = 0;   // that it may use; 0: what it needs. Less than needed: it spills
   std::int64_t group = 0;
-  bool holds = false, waits = false;  // a load; a reader that stands still while one runs
+  bool holds = false, waits = false;  // a load; a reader that waits_for_load still while one runs
   unsigned priority = 1;
 };
 
@@ -50,13 +50,13 @@
   void advance(Time now, std::vector<std::uint64_t>& done);
   [[nodiscard]] Time next() const;  // when advance() is next due; Time::max(): never
 
-  [[nodiscard]] bool tipped() const { return tipped_; }
+  [[nodiscard]] bool crashed() const { return crashed_; }
   [[nodiscard]] std::size_t running() const { return jobs_.size(); }
   [[nodiscard]] double busy() const { return busy_; }  // share of its cores
   [[nodiscard]] double disks_busy() const { return disks_busy_; }
-  [[nodiscard]] double memory_used() const;               // share
-  [[nodiscard]] double progress(std::uint64_t id) const;  // share of its work that is done
-  [[nodiscard]] bool stands(std::uint64_t id) const;      // waits for a load
+  [[nodiscard]] double memory_used() const;                   // share
+  [[nodiscard]] double progress(std::uint64_t id) const;      // share of its work that is done
+  [[nodiscard]] bool waits_for_load(std::uint64_t id) const;  // waits for a load
   [[nodiscard]] double warmth(Time now) const;
 
  private:
@@ -69,7 +69,7 @@
 
   Traits traits_;
   Time started_, now_;
-  bool warm_, tipped_ = false;
+  bool warm_, crashed_ = false;
   double slow_ = 1, busy_ = 0, disks_busy_ = 0;
   std::map<std::uint64_t, Running> jobs_;     // by id: the same order always
   std::deque<std::pair<Time, double>> sent_;  // while cold: work that came
--- a/src/rehearsal/plan.cpp
+++ b/src/rehearsal/plan.cpp
@@ -44,16 +44,15 @@
                                       "groups_change"};
 
 double seconds(Time t) { return std::chrono::duration<double>(t).count(); }
-bool of_engines(TroubleKind kind) { return kind <= TroubleKind::loads_late; }
-bool of_gateways(TroubleKind kind) {
-  return kind == TroubleKind::gateway_stop || kind == TroubleKind::gateway_kill ||
-         kind == TroubleKind::busy_gateway || kind == TroubleKind::clock_drift ||
-         kind == TroubleKind::clock_step;
+bool of_engines(FaultKind kind) { return kind <= FaultKind::loads_late; }
+bool of_gateways(FaultKind kind) {
+  return kind == FaultKind::gateway_stop || kind == FaultKind::gateway_kill ||
+         kind == FaultKind::busy_gateway || kind == FaultKind::clock_drift || kind == FaultKind::clock_step;
 }
 
 Fault read_trouble(yaml::Section& section, const Day& day) {
   Fault trouble;
-  trouble.kind = static_cast<TroubleKind>(section.choice("kind", kKinds, 0));
+  trouble.kind = static_cast<FaultKind>(section.choice("kind", kKinds, 0));
   trouble.at = section.duration("at");
   trouble.length = section.duration("for");
   trouble.size = section.number("size", 1, 0, 1e6);
@@ -63,7 +62,7 @@
       std::ranges::none_of(day.settings.tenants, [&](const auto& one) { return one.name == trouble.tenant; }))
     section.fail("tenant", "expected one of the router's tenants");
   trouble.plan = section.string("plan", "");
-  if (trouble.kind == TroubleKind::groups_change &&
+  if (trouble.kind == FaultKind::groups_change &&
       std::ranges::none_of(day.group_plans, [&](const auto& one) { return one.first == trouble.plan; }))
     section.fail("plan", "expected the name of one of the day's plans of groups");
   const auto most = of_engines(trouble.kind) ? day.engines : of_gateways(trouble.kind) ? day.gateways : 0;
@@ -107,7 +106,7 @@
 
 }  // namespace
 
-std::string_view name_of(TroubleKind kind) { return kKinds[static_cast<std::size_t>(kind)]; }
+std::string_view name_of(FaultKind kind) { return kKinds[static_cast<std::size_t>(kind)]; }
 
 namespace {
 
@@ -154,10 +153,10 @@
   auto section = yaml::Section::text(day.router, path + " (router)");
   day.settings = router::read_settings(section);
   day.names = router::read_names(section);
-  day.traits.cold_from = day.settings.slow_start_initial_capacity;
-  day.traits.ramp = day.settings.slow_start_duration;
-  day.traits.tip_multiple = day.settings.slow_start_overload_ratio;
-  day.traits.tip_window = day.settings.slow_start_overload_window;
+  day.traits.cold_capacity_ratio = day.settings.slow_start_initial_capacity;
+  day.traits.warm_up_duration = day.settings.slow_start_duration;
+  day.traits.overload_ratio = day.settings.slow_start_overload_ratio;
+  day.traits.overload_window = day.settings.slow_start_overload_window;
 }
 
 void read_clients(yaml::Section clients, Day& day) {
@@ -195,7 +194,7 @@
     day.group_plans.emplace_back(name, section.text());
     (void)groups::Plan::read(section);
   }
-  for (auto& section : file.sections("troubles")) day.troubles.push_back(read_trouble(section, day));
+  for (auto& section : file.sections("troubles")) day.faults.push_back(read_trouble(section, day));
   file.close();
   return day;
 }
@@ -226,8 +225,8 @@
  public:
   RequestSource(const Day& day, std::size_t cls)
       : day_(day), cls_(static_cast<ClassIndex>(cls)), load_(day.loads[cls]), random_(day.seed, cls + 1) {
-    for (const auto& fault : day.troubles)
-      if (fault.kind == TroubleKind::burst || fault.kind == TroubleKind::flood) peak_factor_ += fault.size;
+    for (const auto& fault : day.faults)
+      if (fault.kind == FaultKind::burst || fault.kind == FaultKind::flood) peak_factor_ += fault.size;
   }
 
   void append_to(std::vector<Ask>& asks) {
@@ -261,12 +260,12 @@
 
   Moment moment(Time at) {
     Moment moment;
-    for (const auto& fault : day_.troubles) {
+    for (const auto& fault : day_.faults) {
       if (!in_force(fault, at)) continue;
-      if (fault.kind == TroubleKind::burst) moment.rate_factor += fault.size;
-      if (fault.kind == TroubleKind::hot_group) moment.hot_group_ratio = fault.size;
-      if (fault.kind == TroubleKind::hang_ups) moment.hang_up_ratio = fault.size;
-      if (fault.kind != TroubleKind::flood) continue;
+      if (fault.kind == FaultKind::burst) moment.rate_factor += fault.size;
+      if (fault.kind == FaultKind::hot_group) moment.hot_group_ratio = fault.size;
+      if (fault.kind == FaultKind::hang_ups) moment.hang_up_ratio = fault.size;
+      if (fault.kind != FaultKind::flood) continue;
       if (even() < fault.size / (moment.rate_factor + fault.size))
         if (const auto tenant = tenant_named(fault.tenant)) moment.flooding_tenant = tenant;
       moment.rate_factor += fault.size;
@@ -277,12 +276,12 @@
   // How much heavier a heavy fault makes the request; a busy router takes its part of the requests.
   double apply_faults_of_tenant(Ask& ask) {
     double heavier = 1;
-    for (const auto& fault : day_.troubles) {
+    for (const auto& fault : day_.faults) {
       if (!in_force(fault, ask.at)) continue;
       const bool meant = fault.tenant.empty() || fault.tenant == day_.settings.tenants[ask.tenant].name;
-      if (fault.kind == TroubleKind::busy_gateway && meant && even() < fault.size)
+      if (fault.kind == FaultKind::busy_gateway && meant && even() < fault.size)
         ask.gateway = fault.targets[random_() % fault.targets.size()];
-      if (fault.kind == TroubleKind::heavy && meant && even() < fault.size) heavier *= fault.factor;
+      if (fault.kind == FaultKind::heavy && meant && even() < fault.size) heavier *= fault.factor;
     }
     return heavier;
   }
--- a/src/rehearsal/plan.hpp
+++ b/src/rehearsal/plan.hpp
@@ -28,7 +28,7 @@
   unsigned fields = 0;          // of one GraphQL document, a statement each; 0: by /v1/query
 };
 
-enum class TroubleKind {
+enum class FaultKind {
   engine_kill,
   engine_hang,
   engine_slow,
@@ -57,10 +57,10 @@
   hang_ups,
   groups_change
 };
-std::string_view name_of(TroubleKind kind);
+std::string_view name_of(FaultKind kind);
 
 struct Fault {
-  TroubleKind kind = TroubleKind::burst;
+  FaultKind kind = FaultKind::burst;
   Time at{}, length{};
   std::vector<unsigned> targets;  // engines or gateways
   double size = 1;                // factor, chance, or as the kind has it
@@ -95,7 +95,7 @@
   std::vector<std::pair<std::string, std::string>> group_plans;
   unsigned groups = 1, retries = 0;
   Time progress{};
-  std::vector<Fault> troubles;
+  std::vector<Fault> faults;
 };
 
 Day read_day(const std::string& path);  // throws yaml::Error
--- a/src/rehearsal/process.cpp
+++ b/src/rehearsal/process.cpp
@@ -74,7 +74,7 @@
     if (*file >= 0) ::close(std::exchange(*file, -1));
 }
 
-std::string Process::line(Time longest) {
+std::string Process::read_line(Time longest) {
   const auto until = std::chrono::steady_clock::now() + longest;
   while (true) {
     const auto end = buffer_.find('\n');
@@ -95,7 +95,7 @@
   }
 }
 
-void Process::say(const std::string& line) {
+void Process::write_line(const std::string& line) {
   const auto text = line + "\n";
   if (::write(in_, text.data(), text.size()) < 0) return;  // it has ended: the records tell
 }
--- a/src/rehearsal/process.hpp
+++ b/src/rehearsal/process.hpp
@@ -22,8 +22,8 @@
   Process& operator=(Process&& other) noexcept;
 
   // The next line of its standard output; throws std::runtime_error at its end or after `longest`.
-  std::string line(Time longest);
-  void say(const std::string& line);  // to its standard input
+  std::string read_line(Time longest);
+  void write_line(const std::string& line);  // to its standard input
   void signal(int number);
   int wait();               // its exit code; 128 + signal if killed
   bool wait(Time longest);  // false: it still runs
--- a/src/rehearsal/record.hpp
+++ b/src/rehearsal/record.hpp
@@ -22,7 +22,7 @@
 
   // `fields`: further members, as JSON text without braces, such as "\"id\":7"; may be empty.
   void write(Time at, std::string_view event, std::string_view fields = {});
-  void whole(Time at) { write(at, "whole"); }
+  void write_end(Time at) { write(at, "whole"); }
 
  private:
   int file_ = -1;
--- a/tests/e2e/fleet_test.cpp
+++ b/tests/e2e/fleet_test.cpp
@@ -44,13 +44,13 @@
 
 TEST(Lists, ThatAreAwayLeaveTheLastOneInForce) {
   Rig rig({.engines = 2});
-  rig.on_engines([&] { rig.list().away(true); });
+  rig.on_engines([&] { rig.list().set_unavailable(true); });
   std::this_thread::sleep_for(200ms);
   auto client = rig.client();
   client.post(Rig::body("lookup", "a"));
   EXPECT_EQ(client.answer().status, 200);
   EXPECT_GT(rig.metric("heronwell_list_failures_total"), 0);
-  rig.on_engines([&] { rig.list().away(false); });
+  rig.on_engines([&] { rig.list().set_unavailable(false); });
   rig.state(1, EndpointState::removed);
   EXPECT_TRUE(rig.becomes("heronwell_engines_ready", 1));
 }
--- a/tests/e2e/rig.hpp
+++ b/tests/e2e/rig.hpp
@@ -287,7 +287,7 @@
     options.traits = options_.traits;
     options.warm = warm;
     options.seed = i + 1;
-    options.progress_pace = options_.progress;
+    options.progress_interval = options_.progress;
     engines_[i].reset();
     engines_[i] = std::make_unique<rehearsal::Engine>(context_, options, *recorders_[i]);
     entries_[i] = {options.name, "127.0.0.1", engines_[i]->port(), "", "small"};
--- a/tests/e2e/stall_test.cpp
+++ b/tests/e2e/stall_test.cpp
@@ -10,7 +10,7 @@
 
 TEST(Routers, ThatWereStoppedAnswerWhatCameMeanwhileBeforeItsDeadline) {
   rehearsal::Process demo({HERONWELL_PROGRAM, "demo", "--port", "0"}, "");
-  const auto line = demo.line(10s);
+  const auto line = demo.read_line(10s);
   const auto port = static_cast<std::uint16_t>(std::stoul(line.substr(line.rfind(':') + 1)));
   Client first(port);
   first.post(Rig::body("lookup", "a"));
@@ -43,7 +43,7 @@
   {
     rehearsal::Process router({HERONWELL_PROGRAM, "serve", "--config", folder / "router.yaml"},
                               folder / "log");
-    const auto line = router.line(10s);
+    const auto line = router.read_line(10s);
     Client client(static_cast<std::uint16_t>(std::stoul(line.substr(line.rfind(':') + 1))));
     client.post(R"({"statement":"select 1","class":"a \"class\""})");
     EXPECT_EQ(client.answer().status, 503);  // nobody listens on port 9
--- a/tests/emulator/emulator_test.cpp
+++ b/tests/emulator/emulator_test.cpp
@@ -232,7 +232,7 @@
 TEST(Days, OfAnotherSeedAreOthers) {
   auto day = rehearsal::read_day(HERONWELL_DAYS "/ci-day.yaml");
   day.length = 2s;
-  day.troubles.clear();
+  day.faults.clear();
   const auto one = play(day, false, "");
   EXPECT_GT(one.report.served, 100U);
   day.seed = 4;
@@ -409,10 +409,10 @@
   auto day = rehearsal::read_day(HERONWELL_DAYS "/ci-day.yaml");
   const auto longest = std::ranges::max(day.settings.classes, {}, &ClassSettings::timeout).timeout;
   day.length = 2 * longest + 8s;
-  const Time stall = longest + rehearsal::kPatience + 2s;  // clients have given up, too
+  const Time stall = longest + rehearsal::kGiveUpDelay + 2s;  // clients have given up, too
   ASSERT_LT(stall + 3s, day.length);
   for (auto& load : day.loads) load.rate /= 4;
-  const auto trouble = [&](rehearsal::TroubleKind kind) {
+  const auto trouble = [&](rehearsal::FaultKind kind) {
     rehearsal::Fault one;
     one.kind = kind;
     one.at = 2s;
@@ -420,10 +420,10 @@
     one.targets = {0};
     return one;
   };
-  using enum rehearsal::TroubleKind;
+  using enum rehearsal::FaultKind;
   for (const auto& troubles : std::vector<std::vector<rehearsal::Fault>>{
            {trouble(gateway_stop)}, {trouble(engine_hang)}, {trouble(gateway_stop), trouble(engine_hang)}}) {
-    day.troubles = troubles;
+    day.faults = troubles;
     const auto folder = folder_of("stall");
     const auto played = play(day, false, folder);
     EXPECT_TRUE(played.left.empty()) << played.left.front();
--- a/tests/rehearsal/audit_test.cpp
+++ b/tests/rehearsal/audit_test.cpp
@@ -124,8 +124,8 @@
     const auto a = result();
     EXPECT_TRUE(a.unreliable.empty()) << report(a);
     for (unsigned r = 1; r <= 7; ++r) EXPECT_EQ(a.broken[r - 1] > 0, r == rule) << report(a);
-    ASSERT_FALSE(a.breaks.empty());
-    EXPECT_NE(a.breaks[0].what.find(what), std::string::npos) << a.breaks[0].what;
+    ASSERT_FALSE(a.violations.empty());
+    EXPECT_NE(a.violations[0].what.find(what), std::string::npos) << a.violations[0].what;
     EXPECT_FALSE(a.kept());
     EXPECT_NE(report(a).find("rules broken:"), std::string::npos);
   }
--- a/tests/rehearsal/model_test.cpp
+++ b/tests/rehearsal/model_test.cpp
@@ -31,7 +31,7 @@
                                           {.id = 4, .work = 1},
                                           {.id = 5, .work = 1}})[5],
               1.5, 1e-3);
-  EngineModel over({.cores = 1, .peak = 1, .past_peak = 0.5}, 0s, true);
+  EngineModel over({.cores = 1, .peak = 1, .loss_past_peak = 0.5}, 0s, true);
   EXPECT_NEAR(ends(over, {{.id = 0, .work = 1}, {.id = 1, .work = 1}})[1], 3, 1e-3)
       << "two thirds of the work at twice the peak";
 }
@@ -53,13 +53,17 @@
   EXPECT_NEAR(ends(spill, {{.id = 0, .work = 1, .memory_mb = 100, .grant_mb = 50}})[0], 1.75, 1e-3);
 }
 TEST(Model, TipsOverWhenColdAndSentTooMuch) {
-  const Traits traits{.cores = 4, .cold_from = 0.25, .ramp = 10s, .tip_multiple = 3, .tip_window = 2s};
+  const Traits traits{.cores = 4,
+                      .cold_capacity_ratio = 0.25,
+                      .warm_up_duration = 10s,
+                      .overload_ratio = 3,
+                      .overload_window = 2s};
   EngineModel gentle(traits, 0s, false), rough(traits, 0s, false);
   EXPECT_NEAR(gentle.warmth(5s), 0.625, 1e-9);
   for (std::uint64_t i = 0; i < 5; ++i) gentle.add(0s, {.id = i, .work = 1});
-  EXPECT_FALSE(gentle.tipped());
+  EXPECT_FALSE(gentle.crashed());
   for (std::uint64_t i = 0; i < 8; ++i) rough.add(0s, {.id = i, .work = 1});
-  EXPECT_TRUE(rough.tipped());
+  EXPECT_TRUE(rough.crashed());
 }
 TEST(Model, TurnsAwayPastItsSessions) {
   EngineModel model({.sessions = 1}, 0s, true);
