--- a/src/emulator/clients.cpp
+++ b/src/emulator/clients.cpp
@@ -125,7 +125,7 @@
     const auto& cls = clients_.day_.settings.classes[ask_->cls];
     const bool clean = in_.empty() && parser_.keep_alive();
     // The client's own repeat under its key, to the same process: nothing of it may run a second time.
-    if (clean && heard.unknown && cls.idempotency == Idempotency::not_idempotent) {
+    if (clean && heard.outcome_unknown && cls.idempotency == Idempotency::not_idempotent) {
       clients_.write("resent", talk_.ids.front());
       repeating_ = true;
       limit(rehearsal::kGiveUpDelay);
--- a/src/rehearsal/asio.hpp
+++ b/src/rehearsal/asio.hpp
@@ -1,4 +1,4 @@
-// Asio's types as the stand-ins use them: one io_context, its executor named in each type, so that no handler
+// Asio types for the stand-ins. They run on one io_context; each type names its executor, so that no handler
 // is type-erased.
 #pragma once
 
@@ -26,7 +26,7 @@
   return {asio::ip::address_v4::loopback(), port};
 }
 
-// Listens on a port of 127.0.0.1; 0: any. Throws boost::system::system_error.
+// Listens on a port of 127.0.0.1; 0: any free port. Throws boost::system::system_error.
 inline void listen(Acceptor& acceptor, std::uint16_t port) {
   const auto at = loopback(port);
   acceptor.open(at.protocol());
--- a/src/rehearsal/client_request.hpp
+++ b/src/rehearsal/client_request.hpp
@@ -1,5 +1,5 @@
-// What a client of a day says and how it understands the answer; no sockets and no clock. The clients on
-// loopback and the emulator's say the same bytes and write the same records.
+// The requests of a day's clients and the parsing of their answers, without sockets and clock. The clients on
+// loopback and those of the emulator send the same bytes and write the same records.
 #pragma once
 
 #include <optional>
@@ -10,51 +10,52 @@
 
 namespace heronwell::rehearsal {
 
-inline constexpr Time kGiveUpDelay = std::chrono::seconds(5);  // past its deadline, before a client gives up
+inline constexpr Time kGiveUpDelay = std::chrono::seconds(5);  // after the deadline, until a client gives up
 
 struct LoadReport {
   std::uint64_t sent = 0, served = 0, refused = 0, failed = 0, other = 0, broken = 0, unconnected = 0,
                 hung_up = 0, resent = 0;
-  Time worst_lateness{};  // of the generator
+  Time worst_lateness{};  // of the load generator
 };
-std::string text_of(const LoadReport& report);  // for people, but for the lateness
+std::string text_of(const LoadReport& report);  // one line for people, without the lateness
 
-// A request as it goes out.
+// A request as the client sends it.
 struct ClientRequest {
-  std::vector<std::string> ids;  // of its statements, one each
+  std::vector<std::string> ids;  // one for each statement
   std::string bytes;
-  std::string body, timeout;  // of `bytes`; timeout: of its heronwell-timeout-ms, empty: none
-  std::string record;         // the fields of its "sent"
+  std::string body, timeout;  // the body in `bytes` and the value of heronwell-timeout-ms; empty: none
+  std::string record;         // the fields of its "sent" record
   Time time_limit{};          // after sending, before the client hangs up or gives up
   bool hangs_up = false;
 };
 ClientRequest client_request_of(const Day& day, const Ask& ask, unsigned retry);
 
-// What a whole answer says.
+// The content of a complete answer.
 struct ParsedAnswer {
-  struct One {
+  struct StatementAnswer {
     int status = 0;
     std::string outcome;
   };
-  std::vector<One> statements;  // as Talk::ids
-  bool may_retry = false;       // the client may try once more, after
+  std::vector<StatementAnswer> statements;  // in the order of ClientRequest::ids
+  bool may_retry = false;                   // the client may retry after `pause`
   Time pause{};
-  bool unknown = false;  // by GraphQL: a statement may have run
+  bool outcome_unknown = false;  // GraphQL only: a statement may have run
 };
-// The same of an answer to one statement that came as a message; `pause`: zero: none told.
+// Returns the content of an answer to one statement that arrived as a message. `pause` is zero if the answer
+// names none.
 ParsedAnswer parsed_answer_of(const Day& day, const Ask& ask, int status, const std::string& outcome,
                               Time pause);
 ParsedAnswer parse_answer(const Day& day, const Ask& ask, std::size_t statements, int status,
                           const std::string& body);
-// What became of an arrival, over its client's tries.
+// How a request ended, over all tries of its client.
 struct RequestOutcome {
-  std::optional<Time> took;  // until it was served, since it was first sent
+  std::optional<Time> took;  // from the first try until it was served
   bool refused = false, failed = false;
 };
-// The part of a query's worth that an answer earns which took so long; nullopt: none came.
+// Returns the share of a query's priority weight that an answer after `took` earns; nullopt: no answer.
 double share_of_worth(const ClassSettings& cls, double work_ms, std::optional<Time> took);
-void count(const ParsedAnswer& heard, LoadReport& report);
-// The fields of an "answer".
-std::string answer_record(const ParsedAnswer::One& one, Time took, std::uint64_t bytes);
+void count(const ParsedAnswer& parsed, LoadReport& report);
+// Returns the fields of an "answer" record.
+std::string answer_record(const ParsedAnswer::StatementAnswer& one, Time took, std::uint64_t bytes);
 
 }  // namespace heronwell::rehearsal
--- a/src/rehearsal/day.cpp
+++ b/src/rehearsal/day.cpp
@@ -23,8 +23,8 @@
 namespace {
 
 using namespace std::chrono_literals;
-constexpr unsigned kMostProcesses = 64;
-constexpr Time kStart = 10s;  // for a process to say that it listens
+constexpr unsigned kMaxGateways = 64;
+constexpr Time kStartTimeout = 10s;  // until a process must have written that it listens
 
 std::int64_t unix_ms() {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -32,7 +32,7 @@
       .count();
 }
 
-// UDP ports that are free now; held open until all are found, so that none comes twice.
+// Returns free UDP ports. Their sockets stay open until all are found, so that no port is returned twice.
 std::vector<std::uint16_t> free_udp_ports(unsigned count) {
   std::vector<std::uint16_t> ports;
   std::vector<int> files;
@@ -51,9 +51,9 @@
   return ports;
 }
 
-class Stage final : FaultTargets {
+class DayRun final : FaultTargets {
  public:
-  Stage(const Day& day, std::string folder, std::string program)
+  DayRun(const Day& day, std::string folder, std::string program)
       : day_(day),
         folder_(std::move(folder)),
         program_(std::move(program)),
@@ -61,13 +61,13 @@
         engines_(day.engines),
         entries_(day.engines),
         gateways_(day.gateways),
-        awaited_(day.gateways),
+        ready_waiters_(day.gateways),
         ports_(day.gateways) {}
 
-  Stage(const Stage&) = delete;
-  Stage& operator=(const Stage&) = delete;
-  ~Stage() override {
-    for (auto& gateway : gateways_) gateway.signal(SIGKILL);  // nobody is waited for any more
+  DayRun(const DayRun&) = delete;
+  DayRun& operator=(const DayRun&) = delete;
+  ~DayRun() override {
+    for (auto& gateway : gateways_) gateway.signal(SIGKILL);  // so that the waiting threads end
     join();
   }
 
@@ -76,12 +76,12 @@
     write_list();
     list_ = Process({program_, "list", folder_ + "/list.yaml", "--record", folder_ + "/list.jsonl"},
                     folder_ + "/list.log");
-    list_port_ = port_of(list_.read_line(kStart));
+    list_port_ = port_of(list_.read_line(kStartTimeout));
     peers_ = free_udp_ports(day_.gateways);
     if (!day_.group_plans.empty()) write_groups(day_.group_plans.front().first);
     std::ofstream(folder_ + "/key") << "a day's key is no secret: 0123456789abcdef\n";
     for (unsigned i = 0; i < day_.gateways; ++i) start_gateway(i, 0);
-    for (unsigned i = 0; i < day_.gateways; ++i) ports_[i] = port_of(gateways_[i].read_line(kStart));
+    for (unsigned i = 0; i < day_.gateways; ++i) ports_[i] = port_of(gateways_[i].read_line(kStartTimeout));
     const auto steps = schedule(day_, *this);
     start_ = steady_clock_now() + 500ms;
     std::string targets;
@@ -94,7 +94,7 @@
       step();
     }
     const auto report = read_report(clients.read_line(day_.length + day_.tail + 120s));
-    if (clients.wait() != 0) throw std::runtime_error("the clients failed: see clients.log");
+    if (clients.wait() != 0) throw std::runtime_error("the load generator failed: see clients.log");
     std::this_thread::sleep_for(day_.tail);
     join();
     for (auto& gateway : gateways_) end(gateway, "a router");
@@ -106,12 +106,13 @@
 
  private:
   void join() {
-    for (auto& one : awaited_)
+    for (auto& one : ready_waiters_)
       if (one.joinable()) one.join();
   }
   static std::uint16_t port_of(const std::string& line) {
     const auto colon = line.rfind(':');
-    if (colon == std::string::npos) throw std::runtime_error("a process of the day said: " + line);
+    if (colon == std::string::npos)
+      throw std::runtime_error("expected a process to write its port, but it wrote: " + line);
     return static_cast<std::uint16_t>(std::stoul(line.substr(colon + 1)));
   }
   static LoadReport read_report(const std::string& line) {
@@ -161,7 +162,7 @@
     auto& entry = entries_[i];
     entry.name = name;
     entry.host = "127.0.0.1";
-    entry.port = port_of(engines_[i].read_line(kStart));
+    entry.port = port_of(engines_[i].read_line(kStartTimeout));
     entry.zone = day_.names.zones[zone_of(day_, i)];
     entry.machine_type = day_.names.machine_types[kind_of(day_, i)];
     entry.started_ms = cold ? unix_ms() : 0;
@@ -214,7 +215,7 @@
     recorder_.write(steady_clock_now(), "groups", fmt::format(R"("plan":"{}")", name));
   }
 
-  // ---- what goes wrong ------------------------------------------------------------------------------------
+  // ---- faults ---------------------------------------------------------------------------------------------
   void record_fault(FaultKind kind) override {
     recorder_.write(steady_clock_now(), "trouble", fmt::format(R"("kind":"{}")", name_of(kind)));
   }
@@ -241,7 +242,9 @@
     write_list();
   }
   void delay_list(Time by) override { list_.write_line(fmt::format("late_ms {}", milliseconds(by))); }
-  void set_list_unavailable(bool is) override { list_.write_line(is ? "away 1" : "away 0"); }
+  void set_list_unavailable(bool unavailable) override {
+    list_.write_line(unavailable ? "away 1" : "away 0");
+  }
   void stop_gateway(unsigned i) override {
     record("gateway_stopped", "gw", i);
     gateways_[i].signal(SIGSTOP);
@@ -253,19 +256,20 @@
   void kill_gateway(unsigned i) override {
     record("gateway_killed", "gw", i);
     gateways_[i].signal(SIGKILL);
-    if (awaited_[i].joinable()) awaited_[i].join();
+    if (ready_waiters_[i].joinable()) ready_waiters_[i].join();
     gateways_[i].wait();
   }
   void start_gateway(unsigned i) override {
     start_gateway(i, ports_[i]);
-    await(i);
+    wait_until_ready(i);
   }
   void apply_group_plan(const std::string& plan) override { write_groups(plan); }
 
-  // That a router is ready again, or never is, is a fact of the day: other troubles go on meanwhile.
-  void await(unsigned i) {
-    const auto longest = std::max<Time>(kStart, start_ + day_.length - steady_clock_now());
-    awaited_[i] = std::thread([this, i, longest] {
+  // Records when a restarted router is ready, or that it never is. It waits on its own thread, so that other
+  // faults go on meanwhile.
+  void wait_until_ready(unsigned i) {
+    const auto longest = std::max<Time>(kStartTimeout, start_ + day_.length - steady_clock_now());
+    ready_waiters_[i] = std::thread([this, i, longest] {
       try {
         (void)gateways_[i].read_line(longest);
         record("gateway_ready", "gw", i);
@@ -282,7 +286,7 @@
   std::vector<Process> engines_;
   std::vector<fleet::EndpointEntry> entries_;
   std::vector<Process> gateways_;
-  std::vector<std::thread> awaited_;  // by router: waits until it is ready
+  std::vector<std::thread> ready_waiters_;  // by router: each waits until its router is ready
   std::vector<std::uint16_t> ports_, peers_;
   Process list_;
   std::uint16_t list_port_ = 0;
@@ -292,21 +296,21 @@
 }  // namespace
 
 LoadReport run_day(const Day& day, const std::string& folder, const std::string& program) {
-  if (day.gateways > kMostProcesses)
+  if (day.gateways > kMaxGateways)
     throw yaml::Error(
         fmt::format("{}:1:1: gateways.count: at most {} as real processes; more can be emulated", day.file,
-                    kMostProcesses));
-  for (const auto& trouble : day.faults)
-    if (trouble.kind == FaultKind::clock_drift || trouble.kind == FaultKind::clock_step)
+                    kMaxGateways));
+  for (const auto& fault : day.faults)
+    if (fault.kind == FaultKind::clock_drift || fault.kind == FaultKind::clock_step)
       throw yaml::Error(
           fmt::format("{}:1:1: troubles: {}: the machine's clocks are not set; it can be emulated", day.file,
-                      name_of(trouble.kind)));
+                      name_of(fault.kind)));
   std::filesystem::create_directories(folder);
   for (const auto& old : std::filesystem::directory_iterator(folder))
-    if (old.path().extension() == ".jsonl") std::filesystem::remove(old.path());  // of an earlier run
+    if (old.path().extension() == ".jsonl") std::filesystem::remove(old.path());  // from an earlier run
   std::filesystem::copy_file(day.file, folder + "/day.yaml",
                              std::filesystem::copy_options::overwrite_existing);
-  return Stage(day, folder, program).run();
+  return DayRun(day, folder, program).run();
 }
 
 }  // namespace heronwell::rehearsal
--- a/src/rehearsal/day.hpp
+++ b/src/rehearsal/day.hpp
@@ -1,5 +1,6 @@
-// Plays a day in real processes on ephemeral loopback ports: routers, engines, a list, clients. Leaves in a
-// folder what the sockets of engines, list and clients saw, and what was done to whom; never a router's word.
+// run_day() plays a day in real processes on ephemeral loopback ports: routers, engines, a list and clients.
+// It writes to a folder what the engines, the list and the clients saw on their sockets and which faults it
+// caused. No record comes from a router.
 #pragma once
 
 #include <string>
@@ -9,8 +10,8 @@
 
 namespace heronwell::rehearsal {
 
-// `program`: the heronwell executable. Throws std::runtime_error where a process does not start or die as
-// told.
+// `program` is the heronwell executable. Throws std::runtime_error if a process does not start or end as
+// expected.
 LoadReport run_day(const Day& day, const std::string& folder, const std::string& program);
 
 }  // namespace heronwell::rehearsal
--- a/src/rehearsal/demo.cpp
+++ b/src/rehearsal/demo.cpp
@@ -16,7 +16,7 @@
 
 struct Demo::Parts {
   boost::asio::io_context context{1};
-  Recorder nowhere;
+  Recorder null_recorder;
   std::vector<std::unique_ptr<Engine>> engines;
   std::unique_ptr<ListServer> list;
   std::thread thread;
@@ -24,12 +24,12 @@
 
 Demo::Demo(unsigned engines) : parts_(std::make_unique<Parts>()) {
   std::vector<fleet::EndpointEntry> entries;
-  parts_->list = std::make_unique<ListServer>(parts_->context, std::uint16_t{0}, parts_->nowhere);
+  parts_->list = std::make_unique<ListServer>(parts_->context, std::uint16_t{0}, parts_->null_recorder);
   for (unsigned i = 0; i < engines; ++i) {
     EngineOptions options;
     options.name = fmt::format("engine-{}", i);
     options.seed = i + 1;
-    auto engine = std::make_unique<Engine>(parts_->context, options, parts_->nowhere);
+    auto engine = std::make_unique<Engine>(parts_->context, options, parts_->null_recorder);
     fleet::EndpointEntry entry;
     entry.name = options.name;
     entry.host = "127.0.0.1";
--- a/src/rehearsal/demo.hpp
+++ b/src/rehearsal/demo.hpp
@@ -1,4 +1,4 @@
-// The demonstration: stand-in engines and a list in this process, for a router to be tried against.
+// Demo runs stand-in engines and an endpoint list in this process, so that a router can be tried out.
 #pragma once
 
 #include <cstdint>
@@ -9,11 +9,11 @@
 
 class Demo {
  public:
-  explicit Demo(unsigned engines);  // runs on a thread of its own, until destroyed
+  explicit Demo(unsigned engines);  // runs them on its own thread until destroyed
   Demo(const Demo&) = delete;
   Demo& operator=(const Demo&) = delete;
   ~Demo();
-  // A router's configuration against these.
+  // Returns the YAML configuration of a router on `port` that uses these engines and this list.
   [[nodiscard]] std::string config(std::uint16_t port) const;
 
  private:
--- a/src/rehearsal/engine.cpp
+++ b/src/rehearsal/engine.cpp
@@ -12,7 +12,7 @@
     void send(std::string bytes, std::function<void()> then) override {
       sending = std::make_shared<std::string>(std::move(bytes));
       asio::async_write(socket, asio::buffer(*sending),
-                        [self = shared_from_this(), kept = sending, then = std::move(then)](
+                        [self = shared_from_this(), keep_alive = sending, then = std::move(then)](
                             boost::system::error_code error, std::size_t) {
                           if (error && self->session)
                             return self->parts->core.connection_closed(self->session);
@@ -42,7 +42,7 @@
         core(*this, prepared(std::move(options)), recorder) {
     core.listening(acceptor.local_endpoint().port());
   }
-  EngineOptions prepared(EngineOptions options) {  // bound before anything is recorded
+  EngineOptions prepared(EngineOptions options) {  // binds the port before anything is recorded
     listen(acceptor, options.port);
     return options;
   }
@@ -61,8 +61,8 @@
   void after(Time pause, std::function<void()> then) override {
     auto timer = std::make_shared<Timer>(context.get_executor());
     timer->expires_after(pause);
-    timer->async_wait(
-        [timer, kept = shared_from_this(), then = std::move(then)](boost::system::error_code) { then(); });
+    timer->async_wait([timer, keep_alive = shared_from_this(),
+                       then = std::move(then)](boost::system::error_code) { then(); });
   }
   void stopped_listening() override {
     boost::system::error_code ignored;
@@ -88,12 +88,12 @@
     std::array<char, 8192> chunk{};
     boost::system::error_code error;
     while (!error && link->socket.is_open()) {
-      const auto got =
+      const auto bytes_read =
           co_await link->socket.async_read_some(asio::buffer(chunk), asio::redirect_error(kToken, error));
-      if (!error) core.received(link->session, {chunk.data(), got});
+      if (!error) core.received(link->session, {chunk.data(), bytes_read});
     }
     core.connection_closed(link->session);
-    link->session = nullptr;  // which holds the link in turn
+    link->session = nullptr;  // breaks the cycle: the session holds the link, too
   }
 
   asio::io_context& context;
@@ -111,7 +111,7 @@
 std::uint16_t Engine::port() const { return parts_->acceptor.local_endpoint().port(); }
 void Engine::faults(const EngineFaults& faults) { parts_->core.faults(faults); }
 void Engine::kill() { parts_->core.kill(); }
-bool Engine::tipped() const { return parts_->core.crashed(); }
+bool Engine::crashed() const { return parts_->core.crashed(); }
 std::uint64_t Engine::began() const { return parts_->core.began(); }
 std::string Engine::command(const std::string& line) { return parts_->core.command(line); }
 
--- a/src/rehearsal/engine.hpp
+++ b/src/rehearsal/engine.hpp
@@ -1,4 +1,4 @@
-// A stand-in SQL engine on a loopback socket; what it does and reads of statements: engine_core.hpp.
+// Engine is a stand-in SQL engine on a loopback socket. engine_core.hpp says how it handles statements.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 class Engine {
  public:
-  // Binds at once; throws std::system_error. `recorder` outlives it.
+  // Binds the port at once; throws std::system_error. `recorder` must outlive it.
   Engine(boost::asio::io_context& context, EngineOptions options, Recorder& recorder);
   Engine(const Engine&) = delete;
   Engine& operator=(const Engine&) = delete;
@@ -22,11 +22,11 @@
 
   [[nodiscard]] std::uint16_t port() const;
   void faults(const EngineFaults& faults);
-  void kill();  // resets every connection and listens no more, as a killed process does
-  // Reads faults from a line such as "slow 5" or "swallow 0.3"; "" if understood, else what was expected.
+  void kill();  // resets every connection and stops listening, as a killed process does
+  // Sets a fault from a line such as "slow 5" or "swallow 0.3"; returns "", or an error message.
   std::string command(const std::string& line);
-  [[nodiscard]] bool tipped() const;
-  [[nodiscard]] std::uint64_t began() const;  // statements
+  [[nodiscard]] bool crashed() const;         // because it was overloaded while cold
+  [[nodiscard]] std::uint64_t began() const;  // number of statements whose work began
 
  private:
   struct Parts;
--- a/src/rehearsal/engine_core.hpp
+++ b/src/rehearsal/engine_core.hpp
@@ -1,17 +1,17 @@
-// The stand-in SQL engine without its sockets: the PostgreSQL protocol round an EngineModel. Bytes and
-// moments in; bytes, closes and records out. The stand-in process gives it sockets, the emulator wires. What
-// a statement costs stands in a comment of its own, which is all that it reads of it:
+// EngineCore is the stand-in SQL engine without its sockets: it speaks the PostgreSQL protocol and computes
+// the times of statements with an EngineModel. The stand-in process connects it to sockets, the emulator to
+// emulated connections. It reads only one comment of a statement, which says what the statement costs:
 //
 //   select ... /*hw id=c0-17 work_ms=120 threads=2 io=0.3 need_mb=80 group=7 holds=0 waits=1 rows=3 bytes=20
 //                  error=42P01 */
 //
-// A value that is $1, $2 ... is that bound parameter's. For statements by the extended protocol also:
-//   columns=id:23,name:25=Gate_A|Gate_B,shop:25=each   columns with their types' object ids and, after
+// A value $1, $2 ... stands for that bound parameter. Statements of the extended protocol may also have:
+//   columns=id:23,name:25=Gate_A|Gate_B,shop:25=each   columns with the object ids of their types and, after
 //                                                      =, their values; "none": a statement without rows
-//   each=$1                                            rows for each element of an array parameter
-//   tag=INSERT                                         of the command tag
+//   each=$1                                            `rows` rows for each element of an array parameter
+//   tag=INSERT                                         the word of the command tag
 //
-// Statements without one are answered at once with a row "1".
+// The engine answers statements without this comment at once with a row "1".
 #pragma once
 
 #include <deque>
@@ -28,17 +28,17 @@
 
 namespace heronwell::rehearsal {
 
-// What goes wrong on command; parts are chances from 0 to 1.
+// Faults that are set by command. Values without another unit are probabilities from 0 to 1.
 struct EngineFaults {
-  double slow = 1;          // times slower
+  double slow = 1;          // factor on the duration of statements
   double swallow = 0;       // does the work, sends no answer
   double fail = 0;          // answers 58000 at once
-  double reset_before = 0;  // closes instead of beginning
-  double reset_after = 0;   // closes after the work, instead of answering
-  double turn_away = 0;     // answers 53300, never began
-  double cut = 0;           // closes between the last row and the end of the answer
-  Time late_loads{};        // loads told are so old
-  Time slow_start{};        // the start-up is answered so late
+  double reset_before = 0;  // resets the connection before the work begins
+  double reset_after = 0;   // resets the connection after the work instead of answering
+  double turn_away = 0;     // answers 53300; the work does not begin
+  double cut = 0;           // resets the connection between the last row and the end of the answer
+  Time late_loads{};        // age of the loads that it reports
+  Time slow_start{};        // delay of the answer to the start-up message
 };
 
 struct EngineOptions {
@@ -48,30 +48,31 @@
   bool warm = true;
   std::uint64_t seed = 1;
   bool reports_load = true, reports_cost = true;
-  Time progress_interval{};  // 0: no notices
+  Time progress_interval{};  // 0: no progress notices
 };
 
-// What the core needs of the world outside. No call comes back from within one of these.
+// The clock and timers that the core runs on. None of these calls may call the core before it returns.
 class EngineEnvironment {
  public:
   virtual ~EngineEnvironment() = default;
   [[nodiscard]] virtual Time now() = 0;
   enum class TimerKind { work, progress };
-  // Calls on_timer() at that moment, in place of the one set before; Time::max(): never.
+  // Calls on_timer() at that time and replaces the timer of this kind that was set before; Time::max():
+  // never.
   virtual void set_timer(TimerKind which, Time at) = 0;
   virtual void after(Time pause, std::function<void()> then) = 0;
-  virtual void stopped_listening() = 0;  // it has tipped over, or was killed: nobody listens any more
+  virtual void stopped_listening() = 0;  // the engine crashed or was killed
 };
 
-// A connection as its other side sees it.
+// A client's connection to the engine.
 class EngineLink {
  public:
   virtual ~EngineLink() = default;
-  virtual void send(std::string bytes, std::function<void()> then) = 0;  // then: once they have gone out
-  virtual void send_notice(std::string_view bytes) = 0;                  // while nothing else is being sent
+  virtual void send(std::string bytes, std::function<void()> then) = 0;  // calls `then` once they are sent
+  virtual void send_notice(std::string_view bytes) = 0;  // only while nothing else is being sent
   virtual void close(bool reset) = 0;
-  // For a link that takes messages in place of bytes, one statement each: what is told while it runs, and its
-  // end. `code`: of an error; empty: the whole answer.
+  // A link may take messages in place of bytes, one statement each: notices while the statement runs, and its
+  // end. `code` is the SQLSTATE of a notice or an error; an empty one in ended() means a complete answer.
   [[nodiscard]] virtual bool uses_messages() const { return false; }
   virtual void notice(std::string_view /*code*/, std::string /*text*/) {}
   virtual void ended(std::string /*load*/, std::string_view /*code*/, std::string /*cost*/) {}
@@ -82,16 +83,16 @@
   struct Session;
   struct Request;
   using SessionPtr = std::shared_ptr<Session>;
-  // `environment` and `recorder` outlive it.
+  // `environment` and `recorder` must outlive it.
   EngineCore(EngineEnvironment& environment, EngineOptions options, Recorder& recorder);
   ~EngineCore();
 
-  void listening(std::uint16_t port);  // to be recorded
-  void start();                        // the world may be asked to wake it from here on
+  void listening(std::uint16_t port);  // writes the port to the record
+  void start();                        // from here on it sets timers
   [[nodiscard]] SessionPtr open(std::shared_ptr<EngineLink> link);
   void received(SessionPtr session, std::string_view bytes);
   void connection_closed(SessionPtr session);
-  // For links that take messages.
+  // Executes one statement of a link that takes messages.
   [[nodiscard]] SessionPtr execute_message(std::shared_ptr<EngineLink> link, const std::string& gateway,
                                            std::string statement, double grant_mb, unsigned priority);
   void cancel(const SessionPtr& session);
@@ -101,42 +102,43 @@
   std::string command(const std::string& line);  // as Engine::command()
   void kill();
   [[nodiscard]] bool crashed() const { return model_.crashed(); }
-  [[nodiscard]] std::uint64_t began() const { return begun_; }
+  [[nodiscard]] std::uint64_t began() const { return began_; }
 
  private:
   void record(std::string_view event, std::string_view fields);
   void record(std::string_view event, const Session& session, std::string_view id);
   bool chance(double part);
-  static bool take(Session& session, const sql::Message& message);
-  void greet(const SessionPtr& c, const sql::Startup& startup);
-  void cancel(const SessionPtr& c, const sql::Startup& startup);
-  void next_statement(const SessionPtr& c);
-  void set(const SessionPtr& c, const std::string& statement);
-  void turn_away(const SessionPtr& c);
-  void fail(const SessionPtr& c, std::string_view code, std::string_view message);
-  std::string load_text();
-  void tell_load(std::string& out);
-  void answer(const SessionPtr& c, std::string_view code, std::string cost);
-  void finish(const SessionPtr& c);
-  void rows(const SessionPtr& c, std::string out);
-  void send(const SessionPtr& c, std::string bytes, std::function<void()> then);  // then: if it is not closed
-  void close(SessionPtr c, bool reset);
-  void settle(Time now);
-  void arm();
-  void note();
+  static bool read_message(Session& session, const sql::Message& message);
+  void answer_startup(const SessionPtr& session, const sql::Startup& startup);
+  void cancel(const SessionPtr& session, const sql::Startup& startup);
+  void next_statement(const SessionPtr& session);
+  void apply_setting(const SessionPtr& session, const std::string& statement);
+  void reject(const SessionPtr& session);
+  void fail(const SessionPtr& session, std::string_view code, std::string_view message);
+  std::string load_report();
+  void put_load_report(std::string& out);
+  void end_message(const SessionPtr& session, std::string_view code, std::string cost);
+  void send_answer(const SessionPtr& session);
+  void send_rows(const SessionPtr& session, std::string out);
+  // Calls `then` once the bytes are sent, unless the connection has closed.
+  void send(const SessionPtr& session, std::string bytes, std::function<void()> then);
+  void close(SessionPtr session, bool reset);
+  void finish_jobs(Time now);
+  void schedule_work();
+  void schedule_progress();
 
   EngineEnvironment& environment_;
   EngineOptions options_;
   Recorder& recorder_;
   EngineModel model_;
   EngineFaults faults_;
-  pcg64 random_, secrets_;
-  bool listens_ = true;
+  pcg64 random_, secret_source_;
+  bool listening_ = true;
   std::map<std::uint64_t, SessionPtr> sessions_;  // by number
-  std::map<std::uint64_t, SessionPtr> jobs_;
-  std::deque<std::pair<Time, std::string>> loads_;
-  std::uint64_t ids_ = 0, begun_ = 0, numbers_ = 0;
-  std::uint32_t processes_ = 0;
+  std::map<std::uint64_t, SessionPtr> jobs_;      // by job id
+  std::deque<std::pair<Time, std::string>> load_reports_;
+  std::uint64_t last_job_id_ = 0, began_ = 0, last_session_number_ = 0;
+  std::uint32_t last_process_number_ = 0;
 };
 
 }  // namespace heronwell::rehearsal
--- a/src/rehearsal/fault_schedule.cpp
+++ b/src/rehearsal/fault_schedule.cpp
@@ -10,132 +10,142 @@
 
 using namespace std::chrono_literals;
 constexpr Time kDrainToGone = 1500ms;  // from draining to gone in the list
-constexpr Time kNotice = 2s;           // from draining to dead, where capacity is taken away
-constexpr Time kNoise = 300ms;         // how long a noisy neighbour works or rests, drawn anew each time
-constexpr unsigned kAges = 12;         // steps of growing old
+constexpr Time kRemovalNotice = 2s;    // from draining to the kill, where capacity is taken away
+constexpr Time kNoisePeriod = 300ms;   // after each, whether the noisy neighbour is busy is drawn anew
+constexpr unsigned kAgingSteps = 12;   // of an engine that becomes slower
 
 }  // namespace
 
-std::multimap<Time, std::function<void()>> schedule(const Day& day, FaultTargets& actors) {
+std::multimap<Time, std::function<void()>> schedule(const Day& day, FaultTargets& processes) {
   std::multimap<Time, std::function<void()>> steps;
-  for (const auto& t : day.faults) {
-    const auto begin = t.at, over = t.at + t.length;
-    const auto at = [&](Time when, std::function<void()> what) { steps.emplace(when, std::move(what)); };
-    const auto fault = [&](const char* word, double off) {
-      for (const auto i : t.targets) {
-        at(begin, [&, i, line = fmt::format("{} {}", word, t.size)] { actors.command_engine(i, line); });
-        at(over, [&, i, line = fmt::format("{} {}", word, off)] { actors.command_engine(i, line); });
+  for (const auto& fault : day.faults) {
+    const auto begin = fault.at, end = fault.at + fault.length;
+    const auto add_step = [&](Time when, std::function<void()> what) {
+      steps.emplace(when, std::move(what));
+    };
+    const auto add_engine_fault = [&](const char* command, double normal_value) {
+      for (const auto i : fault.targets) {
+        add_step(begin, [&, i, line = fmt::format("{} {}", command, fault.size)] {
+          processes.command_engine(i, line);
+        });
+        add_step(end, [&, i, line = fmt::format("{} {}", command, normal_value)] {
+          processes.command_engine(i, line);
+        });
       }
     };
-    // For each target: what begins and what ends it.
-    const auto strike = [&](void (FaultTargets::*on)(unsigned), void (FaultTargets::*off)(unsigned)) {
-      for (const auto i : t.targets) {
-        at(begin, [&, i, on] { (actors.*on)(i); });
-        at(over, [&, i, off] { (actors.*off)(i); });
+    // Adds the begin and the end of the fault for each target.
+    const auto add_steps = [&](void (FaultTargets::*begin_fault)(unsigned),
+                               void (FaultTargets::*end_fault)(unsigned)) {
+      for (const auto i : fault.targets) {
+        add_step(begin, [&, i, begin_fault] { (processes.*begin_fault)(i); });
+        add_step(end, [&, i, end_fault] { (processes.*end_fault)(i); });
       }
     };
-    at(begin, [&] { actors.record_fault(t.kind); });
+    add_step(begin, [&] { processes.record_fault(fault.kind); });
     using enum FaultKind;
-    switch (t.kind) {
+    switch (fault.kind) {
       case engine_slow:
-        fault("slow", 1);
+        add_engine_fault("slow", 1);
         break;
       case engine_swallow:
-        fault("swallow", 0);
+        add_engine_fault("swallow", 0);
         break;
       case engine_fail:
-        fault("fail", 0);
+        add_engine_fault("fail", 0);
         break;
       case engine_reset_before:
-        fault("reset_before", 0);
+        add_engine_fault("reset_before", 0);
         break;
       case engine_reset_after:
-        fault("reset_after", 0);
+        add_engine_fault("reset_after", 0);
         break;
       case engine_cut:
-        fault("cut", 0);
+        add_engine_fault("cut", 0);
         break;
       case engine_turn_away:
-        fault("turn_away", 0);
+        add_engine_fault("turn_away", 0);
         break;
       case loads_late:
-        fault("late_loads_ms", 0);
+        add_engine_fault("late_loads_ms", 0);
         break;
       case list_late:
-        at(begin, [&] { actors.delay_list(Time(static_cast<std::int64_t>(t.size * 1e6))); });
-        at(over, [&] { actors.delay_list(Time::zero()); });
+        add_step(begin, [&] { processes.delay_list(Time(static_cast<std::int64_t>(fault.size * 1e6))); });
+        add_step(end, [&] { processes.delay_list(Time::zero()); });
         break;
       case list_away:
-        at(begin, [&] { actors.set_list_unavailable(true); });
-        at(over, [&] { actors.set_list_unavailable(false); });
+        add_step(begin, [&] { processes.set_list_unavailable(true); });
+        add_step(end, [&] { processes.set_list_unavailable(false); });
         break;
       case engine_kill:
-        strike(&FaultTargets::kill_engine, &FaultTargets::start_engine);
+        add_steps(&FaultTargets::kill_engine, &FaultTargets::start_engine);
         break;
       case engine_hang:
-        strike(&FaultTargets::stop_engine, &FaultTargets::continue_engine);
+        add_steps(&FaultTargets::stop_engine, &FaultTargets::continue_engine);
         break;
       case engine_drain:
-        for (const auto i : t.targets) {
-          at(begin, [&, i] { actors.mark_engine(i, EndpointState::draining); });
-          if (begin + kDrainToGone < over)
-            at(begin + kDrainToGone, [&, i] { actors.mark_engine(i, EndpointState::removed); });
-          at(over, [&, i] { actors.mark_engine(i, EndpointState::ready); });
+        for (const auto i : fault.targets) {
+          add_step(begin, [&, i] { processes.mark_engine(i, EndpointState::draining); });
+          if (begin + kDrainToGone < end)
+            add_step(begin + kDrainToGone, [&, i] { processes.mark_engine(i, EndpointState::removed); });
+          add_step(end, [&, i] { processes.mark_engine(i, EndpointState::ready); });
         }
         break;
       case engine_age:
-        for (unsigned step = 1; step <= kAges; ++step)
-          for (const auto i : t.targets)
-            at(begin + t.length * (step - 1) / kAges,
-               [&, i, line = fmt::format("slow {:.3f}", 1 + (t.size - 1) * step / kAges)] {
-                 actors.command_engine(i, line);
-               });
-        for (const auto i : t.targets) at(over, [&, i] { actors.command_engine(i, "slow 1"); });
+        for (unsigned step = 1; step <= kAgingSteps; ++step)
+          for (const auto i : fault.targets)
+            add_step(begin + fault.length * (step - 1) / kAgingSteps,
+                     [&, i, line = fmt::format("slow {:.3f}", 1 + (fault.size - 1) * step / kAgingSteps)] {
+                       processes.command_engine(i, line);
+                     });
+        for (const auto i : fault.targets) add_step(end, [&, i] { processes.command_engine(i, "slow 1"); });
         break;
       case engine_noise:
-        for (const auto i : t.targets) {
+        for (const auto i : fault.targets) {
           pcg64 random(day.seed, i + 1);
-          for (auto when = begin; when < over; when += kNoise)
-            at(when, [&, i, line = fmt::format("slow {}", random() % 2 == 0 ? t.size : 1)] {
-              actors.command_engine(i, line);
+          for (auto when = begin; when < end; when += kNoisePeriod)
+            add_step(when, [&, i, line = fmt::format("slow {}", random() % 2 == 0 ? fault.size : 1)] {
+              processes.command_engine(i, line);
             });
-          at(over, [&, i] { actors.command_engine(i, "slow 1"); });
+          add_step(end, [&, i] { processes.command_engine(i, "slow 1"); });
         }
         break;
       case engine_taken: {
-        const auto dead = begin + std::min(kNotice, t.length / 2);
-        for (const auto i : t.targets) {
-          at(begin, [&, i] { actors.mark_engine(i, EndpointState::draining); });
-          at(dead, [&, i] { actors.mark_engine(i, EndpointState::removed), actors.kill_engine(i); });
-          at(over, [&, i] { actors.start_engine(i), actors.mark_engine(i, EndpointState::ready); });
+        const auto killed_at = begin + std::min(kRemovalNotice, fault.length / 2);
+        for (const auto i : fault.targets) {
+          add_step(begin, [&, i] { processes.mark_engine(i, EndpointState::draining); });
+          add_step(killed_at,
+                   [&, i] { processes.mark_engine(i, EndpointState::removed), processes.kill_engine(i); });
+          add_step(end,
+                   [&, i] { processes.start_engine(i), processes.mark_engine(i, EndpointState::ready); });
         }
         break;
       }
       case gateway_stop:
-        strike(&FaultTargets::stop_gateway, &FaultTargets::continue_gateway);
+        add_steps(&FaultTargets::stop_gateway, &FaultTargets::continue_gateway);
         break;
       case gateway_kill:
-        strike(&FaultTargets::kill_gateway, &FaultTargets::start_gateway);
+        add_steps(&FaultTargets::kill_gateway, &FaultTargets::start_gateway);
         break;
       case clock_drift:
-        for (std::size_t n = 0; n < t.targets.size(); ++n) {
-          const auto i = t.targets[n];
-          at(begin, [&, i, rate = 1 + (n % 2 == 0 ? 1e-6 : -1e-6) * t.size] {
-            actors.set_gateway_clock_rate(i, rate);
+        for (std::size_t n = 0; n < fault.targets.size(); ++n) {
+          const auto i = fault.targets[n];
+          add_step(begin, [&, i, rate = 1 + (n % 2 == 0 ? 1e-6 : -1e-6) * fault.size] {
+            processes.set_gateway_clock_rate(i, rate);
           });
-          at(over, [&, i] { actors.set_gateway_clock_rate(i, 1); });
+          add_step(end, [&, i] { processes.set_gateway_clock_rate(i, 1); });
         }
         break;
       case clock_step:
-        for (const auto i : t.targets) {
-          at(begin,
-             [&, i] { actors.set_gateway_clock_offset(i, Time(static_cast<std::int64_t>(t.size * 1e6))); });
-          at(over, [&, i] { actors.set_gateway_clock_offset(i, Time::zero()); });
+        for (const auto i : fault.targets) {
+          add_step(begin, [&, i] {
+            processes.set_gateway_clock_offset(i, Time(static_cast<std::int64_t>(fault.size * 1e6)));
+          });
+          add_step(end, [&, i] { processes.set_gateway_clock_offset(i, Time::zero()); });
         }
         break;
       case groups_change:
-        at(begin, [&] { actors.apply_group_plan(t.plan); });
-        at(over, [&] { actors.apply_group_plan(day.group_plans.front().first); });
+        add_step(begin, [&] { processes.apply_group_plan(fault.plan); });
+        add_step(end, [&] { processes.apply_group_plan(day.group_plans.front().first); });
         break;
       case burst:
       case flood:
@@ -143,7 +153,7 @@
       case busy_gateway:
       case heavy:
       case hang_ups:
-        break;  // the clients' own
+        break;  // draw() applies them to the arrivals
     }
   }
   return steps;
--- a/src/rehearsal/list.cpp
+++ b/src/rehearsal/list.cpp
@@ -53,16 +53,16 @@
     std::string buffer;
     std::array<char, 4096> chunk{};
     boost::system::error_code error;
-    while (!away && !error) {
+    while (!unavailable && !error) {
       const auto step = parser.next(buffer);
       buffer.erase(0, step.consumed);
       if (step.event == http::Parser::Event::error) break;
       if (step.event == http::Parser::Event::end) {
         error = co_await answer(socket, parser);
       } else if (step.event == http::Parser::Event::need_more) {
-        const auto got =
+        const auto bytes_read =
             co_await socket->async_read_some(asio::buffer(chunk), asio::redirect_error(kToken, error));
-        buffer.append(chunk.data(), got);
+        buffer.append(chunk.data(), bytes_read);
       }
     }
     boost::system::error_code ignored;
@@ -82,23 +82,23 @@
       co_return error;
     }
     std::uint64_t known = 0;
-    const auto asked = parameter(target, "index");
-    std::from_chars(asked.data(), asked.data() + asked.size(), known);
+    const auto index_text = parameter(target, "index");
+    std::from_chars(index_text.data(), index_text.data() + index_text.size(), known);
     const auto wait = yaml::parse_duration(parameter(target, "wait")).value_or(std::chrono::minutes(5));
     const auto until = std::chrono::steady_clock::now() + wait;
-    while (known >= index && !away && std::chrono::steady_clock::now() < until && acceptor.is_open()) {
+    while (known >= index && !unavailable && std::chrono::steady_clock::now() < until && acceptor.is_open()) {
       Timer timer(context.get_executor(),
                   std::min(until, std::chrono::steady_clock::now() + std::chrono::milliseconds(5)));
       co_await timer.async_wait(asio::redirect_error(kToken, error));
     }
-    if (away || !acceptor.is_open()) co_return asio::error::connection_aborted;
+    if (unavailable || !acceptor.is_open()) co_return asio::error::connection_aborted;
     const auto body = fleet::write_consul(entries, "sql");
     http::put_response(out, 200, "application/json", body.size(), true,
                        {{"x-consul-index", std::to_string(index)}});
     out += body;
-    auto told = endpoint_list_record(gateway, index, entries);
+    auto reported = endpoint_list_record(gateway, index, entries);
     co_await asio::async_write(*socket, asio::buffer(out), asio::redirect_error(kToken, error));
-    if (!error) recorder.write(steady_clock_now(), "told", told);
+    if (!error) recorder.write(steady_clock_now(), "told", reported);
     co_return error;
   }
 
@@ -114,8 +114,8 @@
   std::set<std::shared_ptr<Socket>> sockets;
   std::vector<fleet::EndpointEntry> entries;
   std::uint64_t index = 1;
-  bool away = false;
-  Time late{};
+  bool unavailable = false;
+  Time delay{};
 };
 
 ListServer::ListServer(boost::asio::io_context& context, std::uint16_t port, Recorder& recorder)
@@ -127,15 +127,15 @@
 
 void ListServer::set(std::vector<fleet::EndpointEntry> entries) {
   auto timer = std::make_shared<Timer>(parts_->context.get_executor());
-  timer->expires_after(std::chrono::duration_cast<std::chrono::steady_clock::duration>(parts_->late));
+  timer->expires_after(std::chrono::duration_cast<std::chrono::steady_clock::duration>(parts_->delay));
   timer->async_wait([parts = parts_, timer, entries = std::move(entries)](boost::system::error_code) {
     parts->entries = entries;
     ++parts->index;
   });
 }
-void ListServer::set_delay(Time by) { parts_->late = by; }
+void ListServer::set_delay(Time by) { parts_->delay = by; }
 void ListServer::set_unavailable(bool unavailable) {
-  parts_->away = unavailable;
+  parts_->unavailable = unavailable;
   boost::system::error_code ignored;
   if (unavailable)
     for (const auto& socket : parts_->sockets) socket->close(ignored);
--- a/src/rehearsal/list.hpp
+++ b/src/rehearsal/list.hpp
@@ -1,5 +1,5 @@
-// A stand-in engine list: Consul's health API with blocking queries on a loopback socket. It records when it
-// told which gateway what, and can be late or away on command.
+// ListServer is a stand-in endpoint list: Consul's health API with blocking queries on a loopback socket. It
+// records which entries it reported to which gateway and when, and can be delayed or unavailable on command.
 #pragma once
 
 #include <memory>
@@ -23,8 +23,8 @@
   ~ListServer();
   [[nodiscard]] std::uint16_t port() const;
   void set(std::vector<fleet::EndpointEntry> entries);
-  void set_delay(Time by);                 // changes are told so much later
-  void set_unavailable(bool unavailable);  // closes what asks
+  void set_delay(Time by);                 // later set() calls take effect after this delay
+  void set_unavailable(bool unavailable);  // while unavailable it closes connections without an answer
 
  private:
   struct Parts;
--- a/src/rehearsal/list_record.hpp
+++ b/src/rehearsal/list_record.hpp
@@ -1,4 +1,4 @@
-// What a list has told a router, as its record has it.
+// Returns the fields of the record of a list's answer to a router.
 #pragma once
 
 #include <fmt/format.h>
--- a/src/rehearsal/load.hpp
+++ b/src/rehearsal/load.hpp
@@ -1,5 +1,5 @@
-// Clients that never wait for answers before sending: each arrival goes out at its moment, on a connection
-// that is free or a new one. How late the generator itself was is recorded.
+// The load generator: clients that send each request at its time without waiting for earlier answers, on an
+// idle connection or a new one. The report says how late the generator itself was.
 #pragma once
 
 #include <string>
@@ -11,7 +11,8 @@
 
 namespace heronwell::rehearsal {
 
-// Plays the day's arrivals against gateways on 127.0.0.1, from `start` on; returns once each has its end.
+// Sends the day's requests to the gateways on these ports of 127.0.0.1, from `start` on the steady clock.
+// Returns once each has ended.
 LoadReport play(const Day& day, const std::vector<std::uint16_t>& ports, Time start, Recorder& recorder);
 
 }  // namespace heronwell::rehearsal
--- a/src/rehearsal/plan.cpp
+++ b/src/rehearsal/plan.cpp
@@ -15,76 +15,78 @@
 
 using namespace std::chrono_literals;
 
-const std::vector<std::string> kKinds{"engine_kill",
-                                      "engine_hang",
-                                      "engine_slow",
-                                      "engine_swallow",
-                                      "engine_fail",
-                                      "engine_reset_before",
-                                      "engine_reset_after",
-                                      "engine_cut",
-                                      "engine_turn_away",
-                                      "engine_drain",
-                                      "engine_age",
-                                      "engine_noise",
-                                      "engine_taken",
-                                      "loads_late",
-                                      "list_late",
-                                      "list_away",
-                                      "gateway_stop",
-                                      "gateway_kill",
-                                      "burst",
-                                      "flood",
-                                      "hot_group",
-                                      "busy_gateway",
-                                      "clock_drift",
-                                      "clock_step",
-                                      "heavy",
-                                      "hang_ups",
-                                      "groups_change"};
+const std::vector<std::string> kFaultKinds{"engine_kill",
+                                           "engine_hang",
+                                           "engine_slow",
+                                           "engine_swallow",
+                                           "engine_fail",
+                                           "engine_reset_before",
+                                           "engine_reset_after",
+                                           "engine_cut",
+                                           "engine_turn_away",
+                                           "engine_drain",
+                                           "engine_age",
+                                           "engine_noise",
+                                           "engine_taken",
+                                           "loads_late",
+                                           "list_late",
+                                           "list_away",
+                                           "gateway_stop",
+                                           "gateway_kill",
+                                           "burst",
+                                           "flood",
+                                           "hot_group",
+                                           "busy_gateway",
+                                           "clock_drift",
+                                           "clock_step",
+                                           "heavy",
+                                           "hang_ups",
+                                           "groups_change"};
 
 double seconds(Time t) { return std::chrono::duration<double>(t).count(); }
-bool of_engines(FaultKind kind) { return kind <= FaultKind::loads_late; }
-bool of_gateways(FaultKind kind) {
+bool targets_engines(FaultKind kind) { return kind <= FaultKind::loads_late; }
+bool targets_gateways(FaultKind kind) {
   return kind == FaultKind::gateway_stop || kind == FaultKind::gateway_kill ||
          kind == FaultKind::busy_gateway || kind == FaultKind::clock_drift || kind == FaultKind::clock_step;
 }
 
-Fault read_trouble(yaml::Section& section, const Day& day) {
-  Fault trouble;
-  trouble.kind = static_cast<FaultKind>(section.choice("kind", kKinds, 0));
-  trouble.at = section.duration("at");
-  trouble.length = section.duration("for");
-  trouble.size = section.number("size", 1, 0, 1e6);
-  trouble.factor = section.number("factor", 10, 0, 1e6);
-  trouble.tenant = section.string("tenant", "");
-  if (!trouble.tenant.empty() &&
-      std::ranges::none_of(day.settings.tenants, [&](const auto& one) { return one.name == trouble.tenant; }))
+Fault read_fault(yaml::Section& section, const Day& day) {
+  Fault fault;
+  fault.kind = static_cast<FaultKind>(section.choice("kind", kFaultKinds, 0));
+  fault.at = section.duration("at");
+  fault.length = section.duration("for");
+  fault.size = section.number("size", 1, 0, 1e6);
+  fault.factor = section.number("factor", 10, 0, 1e6);
+  fault.tenant = section.string("tenant", "");
+  if (!fault.tenant.empty() &&
+      std::ranges::none_of(day.settings.tenants, [&](const auto& one) { return one.name == fault.tenant; }))
     section.fail("tenant", "expected one of the router's tenants");
-  trouble.plan = section.string("plan", "");
-  if (trouble.kind == FaultKind::groups_change &&
-      std::ranges::none_of(day.group_plans, [&](const auto& one) { return one.first == trouble.plan; }))
+  fault.plan = section.string("plan", "");
+  if (fault.kind == FaultKind::groups_change &&
+      std::ranges::none_of(day.group_plans, [&](const auto& one) { return one.first == fault.plan; }))
     section.fail("plan", "expected the name of one of the day's plans of groups");
-  const auto most = of_engines(trouble.kind) ? day.engines : of_gateways(trouble.kind) ? day.gateways : 0;
+  const auto target_limit = targets_engines(fault.kind)    ? day.engines
+                            : targets_gateways(fault.kind) ? day.gateways
+                                                           : 0;
   for (const auto& text : section.strings("targets")) {
     if (text.ends_with('%') && text.find_first_not_of("0123456789") + 1 == text.size() && text.size() < 5) {
-      const auto some = std::max(1U, static_cast<unsigned>(std::stoul(text)) * most / 100);
-      for (unsigned i = 0; i < std::min(some, most); ++i) trouble.targets.push_back(i * most / some);
+      const auto target_count = std::max(1U, static_cast<unsigned>(std::stoul(text)) * target_limit / 100);
+      for (unsigned i = 0; i < std::min(target_count, target_limit); ++i)
+        fault.targets.push_back(i * target_limit / target_count);
       continue;
     }
     const auto number = text.find_first_not_of("0123456789") == std::string::npos && text.size() < 6
                             ? std::stoul(text)
-                            : most;
-    if (number >= most)
-      section.fail("targets", fmt::format("expected numbers under {}, or a part such as 25%", most));
-    trouble.targets.push_back(static_cast<unsigned>(number));
+                            : target_limit;
+    if (number >= target_limit)
+      section.fail("targets", fmt::format("expected numbers under {}, or a part such as 25%", target_limit));
+    fault.targets.push_back(static_cast<unsigned>(number));
   }
-  if (most > 0 && trouble.targets.empty())
-    section.fail("targets", "missing; the engines or gateways it strikes");
-  if (trouble.at + trouble.length > day.length)
-    section.fail("for", "expected an end within the day's length");
+  if (target_limit > 0 && fault.targets.empty())
+    section.fail("targets", "missing; expected the engines or gateways that the fault applies to");
+  if (fault.at + fault.length > day.length) section.fail("for", "expected an end within the day's length");
   section.close();
-  return trouble;
+  return fault;
 }
 
 ClassLoad read_load(const std::string& name, yaml::Section& section) {
@@ -106,11 +108,11 @@
 
 }  // namespace
 
-std::string_view name_of(FaultKind kind) { return kKinds[static_cast<std::size_t>(kind)]; }
+std::string_view name_of(FaultKind kind) { return kFaultKinds[static_cast<std::size_t>(kind)]; }
 
 namespace {
 
-void read_head(yaml::Section head, Day& day) {
+void read_day_section(yaml::Section head, Day& day) {
   day.seed = head.count("seed", 1, 0, UINT64_MAX);
   day.length = head.duration("length");
   day.tail = head.duration("tail", 5s);
@@ -146,10 +148,10 @@
   network.close();
 }
 
-// The router's own configuration, with the number of routers filled in.
-void read_router(YAML::Node& whole, const std::string& path, Day& day) {
-  whole["router"]["gateway"]["of"] = day.gateways;
-  day.router = YAML::Dump(whole["router"]);
+// Reads the routers' configuration and fills in the number of routers.
+void read_router(YAML::Node& root, const std::string& path, Day& day) {
+  root["router"]["gateway"]["of"] = day.gateways;
+  day.router = YAML::Dump(root["router"]);
   auto section = yaml::Section::text(day.router, path + " (router)");
   day.settings = router::read_settings(section);
   day.names = router::read_names(section);
@@ -176,32 +178,32 @@
   clients.close();
 }
 
-Day read(yaml::Section file, YAML::Node whole, const std::string& path) {
+Day read(yaml::Section file, YAML::Node root, const std::string& path) {
   Day day;
   day.file = path;
-  read_head(file.section("day"), day);
+  read_day_section(file.section("day"), day);
   read_gateways(file.section("gateways"), day);
   read_engines(file.section("engines"), day);
   read_network(file.section("network"), day);
   auto settings = file.section("router");
-  read_router(whole, path, day);
+  read_router(root, path, day);
   read_clients(file.section("clients"), day);
   if (const auto schema = schema_of(day); !schema.empty()) {
-    whole["router"]["graphql"]["sdl"] = schema;
-    day.router = YAML::Dump(whole["router"]);
+    root["router"]["graphql"]["sdl"] = schema;
+    day.router = YAML::Dump(root["router"]);
   }
   for (auto& [name, section] : file.named("groups")) {
     day.group_plans.emplace_back(name, section.text());
     (void)groups::Plan::read(section);
   }
-  for (auto& section : file.sections("troubles")) day.faults.push_back(read_trouble(section, day));
+  for (auto& section : file.sections("troubles")) day.faults.push_back(read_fault(section, day));
   file.close();
   return day;
 }
 }  // namespace
 
 Day read_day(const std::string& path) {
-  auto file = yaml::Section::file(path);  // its errors have places
+  auto file = yaml::Section::file(path);  // its errors name line and column
   return read(std::move(file), YAML::LoadFile(path), path);
 }
 
@@ -219,8 +221,8 @@
 
 namespace {
 
-// The requests of one class, drawn one after the other from a generator of its own. The order of the draws is
-// part of a day: the same seed gives the same requests.
+// Draws the requests of one class one after the other from its own random generator. The order of the draws
+// must not change, so that the same seed gives the same requests.
 class RequestSource {
  public:
   RequestSource(const Day& day, std::size_t cls)
@@ -234,13 +236,13 @@
     for (double at = next_gap(); at < seconds(day_.length); at += next_gap()) {
       Ask ask;
       ask.at = Time(static_cast<std::int64_t>(at * 1e9));
-      if (draw(ask)) asks.push_back(ask);
+      if (draw_request(ask)) asks.push_back(ask);
     }
   }
 
  private:
-  // What the faults of a moment do to the arrivals.
-  struct Moment {
+  // The effects of the current faults on the requests.
+  struct FaultEffects {
     double rate_factor = 1;
     double hot_group_ratio = 0, hang_up_ratio = 0;
     std::optional<std::uint32_t> flooding_tenant;
@@ -249,7 +251,7 @@
   [[nodiscard]] static bool in_force(const Fault& fault, Time at) {
     return at >= fault.at && at < fault.at + fault.length;
   }
-  double even() { return even_(random_); }
+  double uniform() { return uniform_(random_); }
 
   [[nodiscard]] std::optional<std::uint32_t> tenant_named(const std::string& name) const {
     std::optional<std::uint32_t> found;
@@ -258,54 +260,58 @@
     return found;
   }
 
-  Moment moment(Time at) {
-    Moment moment;
+  FaultEffects fault_effects(Time at) {
+    FaultEffects fault_effects;
     for (const auto& fault : day_.faults) {
       if (!in_force(fault, at)) continue;
-      if (fault.kind == FaultKind::burst) moment.rate_factor += fault.size;
-      if (fault.kind == FaultKind::hot_group) moment.hot_group_ratio = fault.size;
-      if (fault.kind == FaultKind::hang_ups) moment.hang_up_ratio = fault.size;
+      if (fault.kind == FaultKind::burst) fault_effects.rate_factor += fault.size;
+      if (fault.kind == FaultKind::hot_group) fault_effects.hot_group_ratio = fault.size;
+      if (fault.kind == FaultKind::hang_ups) fault_effects.hang_up_ratio = fault.size;
       if (fault.kind != FaultKind::flood) continue;
-      if (even() < fault.size / (moment.rate_factor + fault.size))
-        if (const auto tenant = tenant_named(fault.tenant)) moment.flooding_tenant = tenant;
-      moment.rate_factor += fault.size;
+      if (uniform() < fault.size / (fault_effects.rate_factor + fault.size))
+        if (const auto tenant = tenant_named(fault.tenant)) fault_effects.flooding_tenant = tenant;
+      fault_effects.rate_factor += fault.size;
     }
-    return moment;
+    return fault_effects;
   }
 
-  // How much heavier a heavy fault makes the request; a busy router takes its part of the requests.
+  // Moves the request to a busy router, if one is drawn, and returns the factor on its work and memory.
   double apply_faults_of_tenant(Ask& ask) {
-    double heavier = 1;
+    double work_factor = 1;
     for (const auto& fault : day_.faults) {
       if (!in_force(fault, ask.at)) continue;
-      const bool meant = fault.tenant.empty() || fault.tenant == day_.settings.tenants[ask.tenant].name;
-      if (fault.kind == FaultKind::busy_gateway && meant && even() < fault.size)
+      const bool tenant_matches =
+          fault.tenant.empty() || fault.tenant == day_.settings.tenants[ask.tenant].name;
+      if (fault.kind == FaultKind::busy_gateway && tenant_matches && uniform() < fault.size)
         ask.gateway = fault.targets[random_() % fault.targets.size()];
-      if (fault.kind == FaultKind::heavy && meant && even() < fault.size) heavier *= fault.factor;
+      if (fault.kind == FaultKind::heavy && tenant_matches && uniform() < fault.size)
+        work_factor *= fault.factor;
     }
-    return heavier;
+    return work_factor;
   }
 
-  // False: thinned out, as the rate of the moment is below the peak that the gaps are drawn for.
-  bool draw(Ask& ask) {
-    const auto moment = this->moment(ask.at);
-    if (even() * peak_factor_ >= moment.rate_factor) return false;
+  // Returns false if the request is dropped: gaps are drawn for the peak rate, and the current rate is lower.
+  bool draw_request(Ask& ask) {
+    const auto fault_effects = this->fault_effects(ask.at);
+    if (uniform() * peak_factor_ >= fault_effects.rate_factor) return false;
     ask.cls = cls_;
     ask.gateway = static_cast<unsigned>(random_() % day_.gateways);
     if (!day_.tenants.empty())
       ask.tenant = static_cast<std::uint32_t>(
           std::discrete_distribution<int>(day_.tenants.begin(), day_.tenants.end())(random_));
-    if (moment.flooding_tenant) ask.tenant = *moment.flooding_tenant;
-    const double heavier = apply_faults_of_tenant(ask);
-    ask.group =
-        even() < moment.hot_group_ratio ? 0 : static_cast<std::uint64_t>(std::pow(even(), 2) * day_.groups);
+    if (fault_effects.flooding_tenant) ask.tenant = *fault_effects.flooding_tenant;
+    const double work_factor = apply_faults_of_tenant(ask);
+    ask.group = uniform() < fault_effects.hot_group_ratio
+                    ? 0
+                    : static_cast<std::uint64_t>(std::pow(uniform(), 2) * day_.groups);
     if (load_.keys > 0) ask.key = 1 + random_() % load_.keys;
-    const double size = size_(random_) * heavier;
+    const double size = size_(random_) * work_factor;
     ask.work_ms = load_.work_ms * size;
     ask.memory_mb = load_.memory_mb * size;
     if (load_.estimates > 0)
       ask.estimate_ms = ask.work_ms * std::exp(std::normal_distribution<double>(0, load_.estimates)(random_));
-    if (even() < moment.hang_up_ratio) ask.hang_up = Time(static_cast<std::int64_t>(even() * 0.2e9));
+    if (uniform() < fault_effects.hang_up_ratio)
+      ask.hang_up = Time(static_cast<std::int64_t>(uniform() * 0.2e9));
     return true;
   }
 
@@ -315,8 +321,8 @@
   pcg64 random_;
   std::exponential_distribution<double> gap_{1};
   std::lognormal_distribution<double> size_{-0.32, 0.8};  // mean 1
-  std::uniform_real_distribution<double> even_{0, 1};
-  double peak_factor_ = 1;  // of the rate, over the usual one, at most
+  std::uniform_real_distribution<double> uniform_{0, 1};
+  double peak_factor_ = 1;  // the highest rate as a multiple of the normal rate
 };
 
 }  // namespace
--- a/src/rehearsal/plan.hpp
+++ b/src/rehearsal/plan.hpp
@@ -1,5 +1,5 @@
-// A day as its YAML file has it: what runs, what clients ask, what goes wrong; and the list of arrivals drawn
-// from it. The same file gives the same arrivals.
+// Day is the content of a day's YAML file: the processes, the load of the clients and the faults. draw()
+// draws the clients' requests from it; the same file gives the same requests.
 #pragma once
 
 #include <cstdint>
@@ -16,16 +16,16 @@
 
 struct ClassLoad {
   std::string name;
-  double rate = 0;      // a second, over all gateways
-  double work_ms = 10;  // mean, of all threads
+  double rate = 0;      // requests per second, over all gateways
+  double work_ms = 10;  // mean, over all threads
   double io = 0.2;
   double memory_mb = 20;
   double rows = 1;
-  double bytes = 20;            // a row
-  double estimates = 0;         // 0: none given; else by how much they scatter (a log-normal's sigma)
-  std::optional<Time> timeout;  // sent with each request; none: the class's give-up time holds
-  std::uint64_t keys = 0;       // order keys; 0: none
-  unsigned fields = 0;          // of one GraphQL document, a statement each; 0: by /v1/query
+  double bytes = 20;            // per row
+  double estimates = 0;         // 0: no estimates; else the sigma of their log-normal error
+  std::optional<Time> timeout;  // sent with each request; none: the class's timeout applies
+  std::uint64_t keys = 0;       // number of ordering keys; 0: none
+  unsigned fields = 0;          // of a GraphQL document, one statement each; 0: uses /v1/query
 };
 
 enum class FaultKind {
@@ -39,9 +39,9 @@
   engine_cut,
   engine_turn_away,
   engine_drain,
-  engine_age,    // slower and slower, up to `size` times
-  engine_noise,  // a neighbour's work: `size` times slower, on and off
-  engine_taken,  // told as draining, gone and dead two seconds later, back cold at the end
+  engine_age,    // becomes slower in steps, up to `size` times
+  engine_noise,  // a noisy neighbour: `size` times slower at random times
+  engine_taken,  // draining in the list, gone and killed two seconds later, restarted cold at the end
   loads_late,
   list_late,
   list_away,
@@ -50,10 +50,10 @@
   burst,
   flood,
   hot_group,
-  busy_gateway,  // `size` of the arrivals, of `tenant` if one is named, come to the targets
-  clock_drift,   // the targets' steady clocks run `size` millionths fast, every other one slow
-  clock_step,    // the targets' Unix time jumps `size` ms ahead, and back in the end
-  heavy,         // a chance of `size` that a query is `factor` times the work and memory
+  busy_gateway,  // the targets get a share `size` of the requests, or of those of `tenant`
+  clock_drift,   // the targets' steady clocks run `size` ppm fast, every other one slow
+  clock_step,    // the targets' Unix time jumps `size` ms ahead, and back at the end
+  heavy,         // with probability `size` a query needs `factor` times the work and memory
   hang_ups,
   groups_change
 };
@@ -63,19 +63,20 @@
   FaultKind kind = FaultKind::burst;
   Time at{}, length{};
   std::vector<unsigned> targets;  // engines or gateways
-  double size = 1;                // factor, chance, or as the kind has it
+  double size = 1;                // factor, probability or other quantity of the kind
   double factor = 10;
   std::string tenant;
-  std::string plan;  // of groups, that is in force meanwhile
+  std::string plan;  // the plan of resource groups during the fault
 };
 
-// Between the processes of an emulated day; on loopback the machine's own holds.
+// The network between the processes of an emulated day. Real processes use the loopback device as it is.
 struct Wires {
   Time delay = std::chrono::microseconds(50);  // one way
-  Time jitter{};                               // up to so much more, drawn for each piece
-  double refused = 0;                          // chance: of a dial
-  double lost = 0;  // of a datagram; of a piece between router and engine, which comes 200 ms later then
-  double cut = 0;   // of such a piece, to be cut at some byte and the connection reset
+  Time jitter{};                               // the largest additional delay, drawn for each segment
+  double refused = 0;                          // probability that a connection attempt is refused
+  // Probability that a datagram is lost, or that a segment between router and engine arrives 200 ms later.
+  double lost = 0;
+  double cut = 0;  // probability that such a segment is cut at some byte and the connection reset
 };
 
 struct Day {
@@ -85,13 +86,13 @@
   unsigned gateways = 1, engines = 1, threads = 1;
   Traits traits;
   Wires wires;
-  RelayFaults relay;   // of relays between routers and engines; none if all are 0
-  std::string router;  // YAML of the router's settings
-  Settings settings;   // as read from it
+  RelayFaults relay;   // of the relays between routers and engines; no relays if all are 0
+  std::string router;  // the router's settings as YAML
+  Settings settings;   // parsed from `router`
   router::ConfiguredNames names;
   std::vector<ClassLoad> loads;  // by class
   std::vector<double> tenants;   // weights
-  // Plans of resource groups by name, as YAML; the first is in force unless a trouble says otherwise.
+  // Plans of resource groups by name, as YAML; the first applies unless a fault names another.
   std::vector<std::pair<std::string, std::string>> group_plans;
   unsigned groups = 1, retries = 0;
   Time progress{};
@@ -100,12 +101,13 @@
 
 Day read_day(const std::string& path);  // throws yaml::Error
 Day read_day_text(const std::string& text, const std::string& name);
-// Zone and kind of engine i: dealt out in turn.
+// Zone and machine type of an engine, as indexes; assigned round-robin.
 std::uint16_t zone_of(const Day& day, unsigned engine);
 std::uint16_t kind_of(const Day& day, unsigned engine);
 
+// A request that a client sends.
 struct Ask {
-  Time at{};  // from the start
+  Time at{};  // from the day's start
   std::uint64_t number = 0;
   unsigned gateway = 0;
   ClassIndex cls = 0;
@@ -113,14 +115,16 @@
   std::uint64_t group = 0, key = 0;
   double work_ms = 0, memory_mb = 0;
   double estimate_ms = 0;       // 0: none
-  std::optional<Time> hang_up;  // after sending
+  std::optional<Time> hang_up;  // when the client closes the connection, from sending
 };
+// Draws the day's requests, in the order of their times.
 std::vector<Ask> draw(const Day& day);
-// The statement and the JSON body of a request.
+// Returns the JSON body of a request, with its statement.
 std::string body_of(const Day& day, const Ask& ask, const std::string& id, bool repeat);
-// The schema that a day's routers serve, a field for each class that clients ask by GraphQL; empty: none do.
+// Returns the GraphQL schema of a day's routers, with a field for each class that clients send by GraphQL;
+// empty if there is none.
 std::string schema_of(const Day& day);
-// The GraphQL request for statements with these ids: fields f0, f1 ...
+// Returns the GraphQL request for statements with these ids, as fields f0, f1 ...
 std::string graphql_body_of(const Day& day, const Ask& ask, const std::vector<std::string>& ids);
 
 }  // namespace heronwell::rehearsal
--- a/src/rehearsal/process.cpp
+++ b/src/rehearsal/process.cpp
@@ -29,7 +29,7 @@
   pid_ = ::fork();
   if (pid_ < 0) throw std::system_error(errno, std::generic_category(), "fork");
   if (pid_ == 0) {
-    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // whatever becomes of the day, nothing is left behind
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // if the parent dies, its children die, too
     if (::getppid() != parent) ::_exit(126);
     const int err = ::open(log.empty() ? "/dev/null" : log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     ::dup2(in[0], 0);
@@ -53,7 +53,7 @@
 
 Process& Process::operator=(Process&& other) noexcept {
   if (this == &other) return *this;
-  drop();
+  terminate();
   pid_ = std::exchange(other.pid_, -1);
   in_ = std::exchange(other.in_, -1);
   out_ = std::exchange(other.out_, -1);
@@ -63,9 +63,9 @@
   return *this;
 }
 
-Process::~Process() { drop(); }
+Process::~Process() { terminate(); }
 
-void Process::drop() {
+void Process::terminate() {
   if (pid_ > 0) {
     ::kill(pid_, SIGKILL);
     wait();
@@ -89,15 +89,15 @@
     if (left.count() <= 0 || ::poll(&one, 1, static_cast<int>(left.count())) <= 0)
       throw std::runtime_error(name_ + " gave no word");
     char chunk[512];
-    const auto got = ::read(out_, chunk, sizeof chunk);
-    if (got <= 0) throw std::runtime_error(name_ + " ended at its start");
-    buffer_.append(chunk, static_cast<std::size_t>(got));
+    const auto bytes_read = ::read(out_, chunk, sizeof chunk);
+    if (bytes_read <= 0) throw std::runtime_error(name_ + " ended at its start");
+    buffer_.append(chunk, static_cast<std::size_t>(bytes_read));
   }
 }
 
 void Process::write_line(const std::string& line) {
   const auto text = line + "\n";
-  if (::write(in_, text.data(), text.size()) < 0) return;  // it has ended: the records tell
+  if (::write(in_, text.data(), text.size()) < 0) return;  // the process has ended; the records show it
 }
 
 void Process::signal(int number) {
--- a/src/rehearsal/process.hpp
+++ b/src/rehearsal/process.hpp
@@ -1,4 +1,5 @@
-// Processes of a day: started, spoken to, stopped, continued and killed by number; none outlives its owner.
+// Process is a child process of a day. Its owner writes to its standard input, reads its standard output and
+// sends it signals; it does not outlive its owner.
 #pragma once
 
 #include <sys/types.h>
@@ -21,19 +22,20 @@
   Process(Process&& other) noexcept;
   Process& operator=(Process&& other) noexcept;
 
-  // The next line of its standard output; throws std::runtime_error at its end or after `longest`.
+  // Returns the next line of its standard output; throws std::runtime_error if the output ends or after
+  // `longest`.
   std::string read_line(Time longest);
   void write_line(const std::string& line);  // to its standard input
   void signal(int number);
-  int wait();               // its exit code; 128 + signal if killed
+  int wait();               // returns its exit code; 128 + signal if killed
   bool wait(Time longest);  // false: it still runs
   [[nodiscard]] pid_t id() const { return pid_; }
 
  private:
-  void drop();
+  void terminate();
   pid_t pid_ = -1;
   int in_ = -1, out_ = -1, code_ = -1;
-  std::string buffer_, name_;  // name: for errors
+  std::string buffer_, name_;  // name_: for error messages
 };
 
 }  // namespace heronwell::rehearsal
--- a/src/rehearsal/record.cpp
+++ b/src/rehearsal/record.cpp
@@ -29,7 +29,8 @@
   if (file_ < 0) return;
   const auto line =
       fmt::format("{{\"t\":{},\"e\":\"{}\"{}{}}}\n", at.count(), event, fields.empty() ? "" : ",", fields);
-  // One write a line: lines of several threads and lives don't mix. A full disk shows as a record cut short.
+  // One write() for each line, so that lines of several threads or of a restarted process do not mix. If the
+  // disk is full, the audit finds a record that is cut short.
   if (::write(file_, line.data(), line.size()) < 0) return;
 }
 
--- a/src/rehearsal/record.hpp
+++ b/src/rehearsal/record.hpp
@@ -1,6 +1,7 @@
-// What a stand-in saw on its sockets, a JSON object a line. Each line is written at once, so that it outlives
-// a killed process; the first line says who writes, the last, where the writer ended by itself, that it is
-// whole. Times are nanoseconds on the machine's monotonic clock, which all processes of a day share.
+// Recorder writes what a stand-in saw on its sockets, as one JSON object per line. Each line is written at
+// once, so that it is kept if the process is killed. The first line names the writer; the last line, of a
+// writer that was not killed, says that the record is complete. Times are nanoseconds of the machine's
+// monotonic clock, which all processes of a day share.
 #pragma once
 
 #include <string>
@@ -12,10 +13,10 @@
 
 class Recorder {
  public:
-  Recorder() = default;  // keeps nothing
-  // Appends to `path`; "": keeps nothing. Throws std::system_error.
+  Recorder() = default;  // writes nothing
+  // Appends to `path`; "": writes nothing. Throws std::system_error.
   Recorder(const std::string& path, std::string_view role, std::string_view name, Time at);
-  Recorder(const std::string& path, std::string_view role, std::string_view name);  // at this moment
+  Recorder(const std::string& path, std::string_view role, std::string_view name);  // begins now
   ~Recorder();
   Recorder(const Recorder&) = delete;
   Recorder& operator=(const Recorder&) = delete;
--- a/src/rehearsal/relay.hpp
+++ b/src/rehearsal/relay.hpp
@@ -1,5 +1,5 @@
-// A dishonest relay between routers and an engine, for proving that the audit catches what it must: it may
-// send a statement twice, or claim an answer that no engine gave.
+// Relay is a faulty relay between routers and an engine. It may send a statement twice, or answer one that
+// the engine never got; tests use it to check that the audit detects both.
 #pragma once
 
 #include <cstdint>
@@ -12,8 +12,8 @@
 namespace heronwell::rehearsal {
 
 struct RelayFaults {
-  double repeat = 0;  // chance that a statement is sent twice
-  double claim = 0;   // chance that one is answered by the relay, and never reaches the engine
+  double repeat = 0;  // probability that a statement is sent twice
+  double claim = 0;   // probability that the relay answers a statement itself and the engine never gets it
 };
 
 class Relay {
