--- a/src/rehearsal/audit.cpp
+++ b/src/rehearsal/audit.cpp
@@ -25,13 +25,14 @@
 // The largest delay between the times at which two processes record the same moment, on a machine where all
 // of them share few cores.
 constexpr Nanos kObservationTolerance = 50 * kNanosPerMillisecond;
-constexpr Nanos kRetransmissionDelay =
-    200 * kNanosPerMillisecond;  // of a lost stream segment, on emulated networks
+// Emulated networks send a lost stream segment again after this delay.
+constexpr Nanos kRetransmissionDelay = 200 * kNanosPerMillisecond;
 // The time that a router needs to answer overdue requests after it was stopped and continued.
 constexpr Nanos kAnswerTimeAfterStop = 500 * kNanosPerMillisecond;
 constexpr Nanos kNever = INT64_MAX;
-constexpr std::size_t kMaxListed = 100;
+constexpr std::size_t kMaxListedFindings = 100;
 
+// A period of time; `to` is INT64_MAX while it is open.
 struct Span {
   Nanos from = 0, to = INT64_MAX;
   [[nodiscard]] bool overlaps(Nanos a, Nanos b) const { return from <= b && a <= to; }
@@ -43,9 +44,10 @@
   std::string outcome;
 };
 
+// A request as its client recorded it.
 struct RequestRecord {
   Nanos sent = 0, deadline = 0;
-  std::string gateway, cls, first;
+  std::string gateway, cls, first_try_id;
   std::uint64_t tenant = 0, key = 0;
   double work_ms = 0;
   std::vector<AnswerRecord> answers;
@@ -54,6 +56,7 @@
   bool broken = false, head_received = false, gave_up = false;
 };
 
+// An attempt as its engine recorded it, from the read statement to its end.
 struct Attempt {
   std::uint64_t connection = 0;  // the engine's number for it
   std::string engine, gateway;
@@ -62,11 +65,13 @@
   double work_ms = 0;
 };
 
+// The state of an engine as the list reported it to a router.
 struct ReportedState {
   Nanos at = 0;
   int state = 1;  // 0 draining, 1 ready, 2 gone
 };
 
+// Work that reached an engine before it was warm, in core-seconds.
 struct ColdArrival {
   Nanos at = 0;
   double work = 0, warmth = 1;
@@ -109,12 +114,12 @@
 
  private:
   void add_unreliable(const std::string& what) {
-    if (audit_.unreliable.size() < kMaxListed) audit_.unreliable.push_back(what);
+    if (audit_.unreliable.size() < kMaxListedFindings) audit_.unreliable.push_back(what);
   }
   void add_violation(unsigned rule, const std::string& id, const std::string& gateway,
                      const std::string& engine, Nanos at, const std::string& what) {
     ++audit_.broken[rule - 1];
-    if (audit_.violations.size() < kMaxListed)
+    if (audit_.violations.size() < kMaxListedFindings)
       audit_.violations.push_back({rule, id, gateway, engine, static_cast<double>(at - start_) / 1e9, what});
   }
   void count_cases(unsigned rule, std::uint64_t cases = 1) { audit_.cases[rule - 1] += cases; }
@@ -196,7 +201,7 @@
                              : j.at("deadline_ms").get<Nanos>() * kNanosPerMillisecond;
       request.gateway = text(j, "gw");
       request.cls = text(j, "cls");
-      request.first = text(j, "first");
+      request.first_try_id = text(j, "first");
       request.tenant = j.at("tenant").get<std::uint64_t>();
       request.key = j.at("key").get<std::uint64_t>();
       request.work_ms = j.at("work_ms").get<double>();
@@ -231,8 +236,8 @@
     const auto gateway = text(j, "gw");
     auto& reported = reported_states_[gateway];
     auto at = time(j);
-    for (const auto& span :
-         stopped_gateways_[gateway])  // a stopped router reads the answer once it is continued
+    // A stopped router reads the answer once it is continued.
+    for (const auto& span : stopped_gateways_[gateway])
       if (span.overlaps(at, at)) at = span.to;
     std::set<std::string> named;
     for (const auto& [engine, entry] : j.at("engines").items()) {
@@ -482,8 +487,8 @@
         for (std::size_t i = j > 20 ? j - 20 : 0; i < j; ++i) {
           const auto& earlier = requests[i];
           const auto& later = requests[j];
-          if (later.first < earlier.first + kObservationTolerance)
-            continue;  // the records do not show which came first
+          // Within the tolerance the records do not show which came first.
+          if (later.first < earlier.first + kObservationTolerance) continue;
           const auto& ran = attempts(later.second);
           if (ran.empty()) continue;
           count_cases(5);
@@ -566,9 +571,9 @@
       if (request->second.tenant < audit_.tenants.size())
         audit_.tenants[request->second.tenant].engine_s += used;
     }
-    std::map<std::string, std::vector<const RequestRecord*>> tries_by_first;
-    for (const auto& [id, request] : requests_) tries_by_first[request.first].push_back(&request);
-    for (auto& [first, tries] : tries_by_first) {
+    std::map<std::string, std::vector<const RequestRecord*>> tries_by_first_id;
+    for (const auto& [id, request] : requests_) tries_by_first_id[request.first_try_id].push_back(&request);
+    for (auto& [first, tries] : tries_by_first_id) {
       std::ranges::sort(tries, {}, &RequestRecord::sent);
       const auto& request = *tries.front();
       const auto found = std::ranges::find(day_.settings.classes, request.cls, &ClassSettings::name);
@@ -601,8 +606,8 @@
   Audit& audit_;
   Day day_;
   Nanos start_ = 0;
-  Nanos tolerance_ =
-      kObservationTolerance;  // between routers and engines; longer if lost data is retransmitted
+  // The tolerance between routers and engines; longer if lost data is retransmitted.
+  Nanos tolerance_ = kObservationTolerance;
   bool engine_starts_warm_ = true;
   std::set<std::string> file_names_;
   std::map<std::string, unsigned> engine_kills_;
@@ -610,8 +615,8 @@
   std::map<std::string, std::vector<Span>> stopped_gateways_, killed_gateways_, stopped_engines_;
   std::map<std::string, RequestRecord> requests_;
   std::map<std::string, std::vector<Attempt>> attempts_;
-  std::map<std::string, std::map<std::string, std::vector<ReportedState>>>
-      reported_states_;                                                   // by router and engine
+  // By router and engine.
+  std::map<std::string, std::map<std::string, std::vector<ReportedState>>> reported_states_;
   std::map<std::string, std::pair<std::string, std::string>> locations_;  // zone and kind
   std::map<std::string, std::vector<ColdArrival>> cold_arrivals_;
 };
