--- a/benchmarks/router_bench.cpp
+++ b/benchmarks/router_bench.cpp
@@ -95,7 +95,7 @@
     engines.emplace_back(
         std::vector<std::string>{program, "engine", "--name", fmt::format("e{}", i), "--sessions", "1000"},
         "");
-    ports.push_back(parse_port(engines.back().line(5s)));
+    ports.push_back(parse_port(engines.back().read_line(5s)));
     list << fmt::format("  - {{name: e{}, port: {}, kind: k}}\n", i, ports.back());
   }
   list.close();
@@ -141,7 +141,7 @@
   router.join();
 
   rehearsal::Process router_process({program, "serve", "--config", (folder / "router.yaml").string()}, "");
-  const auto port = parse_port(router_process.line(5s));
+  const auto port = parse_port(router_process.read_line(5s));
   std::this_thread::sleep_for(300ms);
   const auto idle_connections = std::min<std::size_t>(10'000, limit.rlim_cur - 200);
   {
