--- a/src/cli/audit.cpp
+++ b/src/cli/audit.cpp
@@ -1,4 +1,5 @@
-// heronwell audit: proves the seven rules from a day's records. Exit code `failed` where one is broken.
+// The sub-command `audit` checks the seven audit rules against the records of a day. The exit code is
+// `failed` if a rule is violated.
 #include "rehearsal/audit.hpp"
 
 #include <iostream>
@@ -19,9 +20,9 @@
 
 void add_audit_command(CommandLine& line) {
   auto folder = std::make_shared<std::string>();
-  auto* command = line.add_command("audit", "Prove the seven rules from a day's records",
+  auto* command = line.add_command("audit", "Check the seven audit rules against the records of a day",
                                    [folder] { return audit_day(*folder); });
-  command->add_option("folder", *folder, "Folder of a day's records")->required();
+  command->add_option("folder", *folder, "Folder with the records of a day")->required();
 }
 
 }  // namespace heronwell::cli
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -39,7 +39,7 @@
   return command;
 }
 
-// The innermost command that was named: `groups explain` is its own, not `groups`.
+// Runs the innermost sub-command on the command line: for `groups explain` that is `explain`, not `groups`.
 ExitCode CommandLine::run_named_command() const {
   const CLI::App* command = &app_;
   while (!command->get_subcommands().empty()) command = command->get_subcommands().front();
@@ -50,7 +50,7 @@
   try {
     app_.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app_.exit(error) == 0 ? ExitCode::done : ExitCode::wrong_use;  // 0: --help
+    return app_.exit(error) == 0 ? ExitCode::done : ExitCode::wrong_use;  // 0 after --help
   }
   try {
     return run_named_command();
--- a/src/cli/command_line.hpp
+++ b/src/cli/command_line.hpp
@@ -1,12 +1,13 @@
-// The program's command line: sub-commands register here with their options and what they do; run() parses
-// the arguments, runs the one that was named, and turns what it throws into an exit code.
+// CommandLine parses the program's arguments and runs a sub-command. Sub-commands register with their options
+// and an action; run() executes the action of the selected sub-command and maps its exceptions to exit codes
+// and messages:
 //
-//   yaml::Error, experiment::StoreError     wrong_use        the text as it is
+//   yaml::Error, experiment::StoreError     wrong_use        text
 //   std::invalid_argument                   wrong_use        CONFIG:1:1: text
-//   (boost's or std's) system_error         could_not_start  heronwell: could not start: text
+//   boost or std system_error               could_not_start  heronwell: could not start: text
 //   any other std::exception                failed           heronwell: text
 //
-// Errors go to standard error, one line each.
+// `text` is the exception's what(). Each error is written to standard error as one line.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -27,16 +28,18 @@
 
   using Action = std::function<ExitCode()>;
 
-  // A sub-command that does something. The order of registration is the order in the help text. `help` is one
-  // line.
+  // Adds a sub-command with an action. The help text lists the sub-commands in the order of registration.
+  // `help` is a single line.
   CLI::App* add_command(const std::string& name, const std::string& help, Action action);
-  // A sub-command whose own sub-commands do something; add these with add_command_in().
+  // Adds a sub-command that only groups further sub-commands, which are added with add_command_in().
   CLI::App* add_group(const std::string& name, const std::string& help);
   CLI::App* add_command_in(CLI::App* group, const std::string& name, const std::string& help, Action action);
 
-  // The configuration file of the commands that read one; empty for the others. Errors of settings name it.
+  // Path of the configuration file, set by the sub-commands that read one and empty for the others. Error
+  // messages about settings start with it.
   std::string config_file;
 
+  // Parses the arguments, runs the selected sub-command and returns the exit code of the process.
   ExitCode run(int argc, char** argv);
 
  private:
@@ -46,7 +49,8 @@
   std::map<const CLI::App*, Action> actions_;
 };
 
-// Reads the value of a duration option. Throws yaml::Error naming the option without its dashes, `option`.
+// Parses the value `text` of a duration option. `option` is the option's name without leading dashes. Throws
+// yaml::Error, whose text contains that name, if `text` is not a duration.
 Time parse_duration_option(const std::string& option, const std::string& text);
 
 }  // namespace heronwell::cli
--- a/src/cli/demo.cpp
+++ b/src/cli/demo.cpp
@@ -1,4 +1,4 @@
-// heronwell demo: stand-in engines, an endpoint list and one router, all on loopback.
+// The sub-command `demo` runs stand-in engines, an endpoint list and one router, all on loopback.
 #include "rehearsal/demo.hpp"
 
 #include <memory>
@@ -15,7 +15,7 @@
 };
 
 ExitCode run_demo(const DemoOptions& options) {
-  const rehearsal::Demo stand_ins(options.engines);  // their processes end with it
+  const rehearsal::Demo stand_ins(options.engines);  // the destructor ends their processes
   return serve(config::read_config(yaml::Section::text(stand_ins.config(options.port), "demo")));
 }
 
@@ -23,10 +23,11 @@
 
 void add_demo_command(CommandLine& line) {
   auto options = std::make_shared<DemoOptions>();
-  auto* command = line.add_command("demo", "Stand-in engines, a list and one router on loopback",
-                                   [options] { return run_demo(*options); });
-  command->add_option("--port", options->port, "Port to listen on; 0: any")->capture_default_str();
-  command->add_option("--engines", options->engines, "Stand-in engines")
+  auto* command =
+      line.add_command("demo", "Run stand-in engines, an endpoint list and one router on loopback",
+                       [options] { return run_demo(*options); });
+  command->add_option("--port", options->port, "Port to listen on; 0: any free port")->capture_default_str();
+  command->add_option("--engines", options->engines, "Number of stand-in engines")
       ->check(CLI::Range(1, 64))
       ->capture_default_str();
 }
--- a/src/cli/emulate.cpp
+++ b/src/cli/emulate.cpp
@@ -1,5 +1,5 @@
-// heronwell emulate: plays a day on virtual time (docs/emulator.md). Exit code `failed` where something was
-// left open at the end.
+// The sub-command `emulate` runs a day on virtual time (docs/emulator.md). The exit code is `failed` if
+// routers still hold requests or other resources long after the last request; each of these is printed.
 #include <fmt/format.h>
 #include <sys/resource.h>
 
@@ -16,11 +16,11 @@
 
 struct EmulateOptions {
   std::string file;
-  std::string folder;  // empty: no records
+  std::string folder;  // empty: no records are written
   std::optional<std::uint64_t> seed;
   bool fast = false;
-  std::string delay;   // empty: the day's own
-  std::string jitter;  // empty: the day's own
+  std::string delay;   // empty: as in the day file
+  std::string jitter;  // empty: as in the day file
 };
 
 void print_cost(const emulator::Played& played, double seconds, std::size_t routers) {
@@ -54,14 +54,15 @@
 
 void add_emulate_command(CommandLine& line) {
   auto options = std::make_shared<EmulateOptions>();
-  auto* command = line.add_command("emulate", "Play a day on virtual time (docs/emulator.md)",
+  auto* command = line.add_command("emulate", "Run a day on virtual time (docs/emulator.md)",
                                    [options] { return emulate(*options); });
   command->add_option("file", options->file, "Day file")->required();
-  command->add_option("--out", options->folder, "Folder for its records; without: none are kept");
-  command->add_option("--seed", options->seed, "In place of the day's");
-  command->add_option("--delay", options->delay, "Of each message one way, such as 50us, the usual");
-  command->add_option("--jitter", options->jitter, "Up to so much more, drawn for each");
-  command->add_flag("--fast", options->fast, "Messages between processes in place of bytes");
+  command->add_option("--out", options->folder, "Folder for the records; without it no records are written");
+  command->add_option("--seed", options->seed, "Random seed, in place of the day file's");
+  command->add_option("--delay", options->delay, "One-way network delay of each message, such as 50us");
+  command->add_option("--jitter", options->jitter, "Maximum random delay added to each message");
+  command->add_flag("--fast", options->fast,
+                    "Pass messages between processes without encoding them to bytes");
 }
 
 }  // namespace heronwell::cli
--- a/src/cli/engine.cpp
+++ b/src/cli/engine.cpp
@@ -1,4 +1,5 @@
-// heronwell engine: a stand-in SQL engine on loopback. Faults are read from standard input.
+// The sub-command `engine` runs a stand-in SQL engine on loopback. It reads faults to inject from standard
+// input, one per line.
 #include "rehearsal/engine.hpp"
 
 #include <boost/asio/io_context.hpp>
@@ -28,15 +29,16 @@
   boost::asio::io_context context(1);
   rehearsal::Recorder recorder(record, "engine", options.name);
   const auto port = options.port;
-  // With a relay, clients connect to the relay at `port`, and the engine listens behind it.
+  // With a relay, clients connect to the relay at `port`, and the engine listens on another, free port, to
+  // which the relay connects.
   const bool relayed = faults.repeat > 0 || faults.claim > 0;
   if (relayed) options.port = 0;
   rehearsal::Engine engine(context, options, recorder);
   std::optional<rehearsal::Relay> relay;
   if (relayed) relay.emplace(context, port, engine.port(), faults, options.seed);
   StandInProcess process(context, [&engine](const std::string& command) {
-    if (const auto wrong = engine.command(command); !wrong.empty())
-      std::cerr << "engine: " << wrong << std::endl;
+    if (const auto error = engine.command(command); !error.empty())
+      std::cerr << "engine: " << error << std::endl;
   });
   process.start();
   std::cout << "listening 127.0.0.1:" << (relay ? relay->port() : engine.port()) << std::endl;
@@ -61,7 +63,8 @@
   command.add_option("--memory-mb", traits.memory_mb)->check(CLI::Range(1.0, 1e8))->capture_default_str();
   command.add_option("--sessions", traits.sessions)->check(CLI::Range(1, 1000000))->capture_default_str();
   command.add_option("--cold-from", traits.cold_from)->check(CLI::Range(0.01, 1.0))->capture_default_str();
-  command.add_option("--ramp", options.ramp, "Until warm, such as 10s")->capture_default_str();
+  command.add_option("--ramp", options.ramp, "Time until the engine is warm, such as 10s")
+      ->capture_default_str();
   command.add_option("--tip-multiple", traits.tip_multiple)
       ->check(CLI::Range(0.0, 1e3))
       ->capture_default_str();
@@ -72,19 +75,21 @@
 
 void add_engine_command(CommandLine& line) {
   auto options = std::make_shared<EngineCommandOptions>();
-  auto* command = line.add_command("engine", "A stand-in engine; faults are read from standard input",
+  auto* command = line.add_command("engine", "Run a stand-in engine, which reads faults from standard input",
                                    [options] { return run_engine_command(*options); });
-  command->add_option("--name", options->engine.name, "Its name")->capture_default_str();
-  command->add_option("--port", options->engine.port, "Port on 127.0.0.1; 0: any")->capture_default_str();
+  command->add_option("--name", options->engine.name, "Name of the engine")->capture_default_str();
+  command->add_option("--port", options->engine.port, "Port on 127.0.0.1; 0: any free port")
+      ->capture_default_str();
   add_traits(*command, *options);
-  command->add_option("--progress", options->progress, "Between notices of progress; 0s: none")
+  command->add_option("--progress", options->progress, "Interval between progress notices; 0s: none")
       ->capture_default_str();
   command->add_option("--seed", options->engine.seed)->capture_default_str();
-  command->add_option("--record", options->record, "File for what its sockets see");
+  command->add_option("--record", options->record, "File to record socket events in");
   command->add_option("--relay-repeat", options->relay.repeat,
-                      "Chance that a relay before it sends a statement twice");
-  command->add_option("--relay-claim", options->relay.claim, "Chance that the relay answers in its place");
-  command->add_flag("--cold", options->cold, "It starts cold");
+                      "Probability that a relay in front of the engine sends a statement twice");
+  command->add_option("--relay-claim", options->relay.claim,
+                      "Probability that the relay answers in place of the engine");
+  command->add_flag("--cold", options->cold, "Start the engine cold");
 }
 
 }  // namespace heronwell::cli
--- a/src/cli/exit_code.hpp
+++ b/src/cli/exit_code.hpp
@@ -1,13 +1,13 @@
-// How the program ends. Scripts rely on these numbers: they never change.
+// Exit codes of the program. Scripts rely on the numbers, so they must not change.
 #pragma once
 
 namespace heronwell::cli {
 
 enum class ExitCode : int {
-  done = 0,       // what was asked for was done
-  failed = 1,     // ran and failed: a rule was broken, a target missed, nothing found, an error while running
-  wrong_use = 2,  // wrong use or configuration: one line says file, line, column, field, what was expected
-  could_not_start = 3  // a port, file or other resource of the system was not to be had
+  done = 0,       // success
+  failed = 1,     // ran and failed: rule violated, target missed, nothing found, or error at run time
+  wrong_use = 2,  // wrong usage or configuration; one line gives file, line, column, field and expectation
+  could_not_start = 3  // a port, file or other system resource was not available
 };
 
 }  // namespace heronwell::cli
--- a/src/cli/experiment.cpp
+++ b/src/cli/experiment.cpp
@@ -1,4 +1,4 @@
-// heronwell experiment: policies and parameters compared on many emulated days
+// The sub-commands of `experiment` compare policies and parameters on many emulated days
 // (docs/operators/experiments.md).
 #include <fmt/format.h>
 #include <xxhash.h>
@@ -27,8 +27,8 @@
   std::size_t max_runs = SIZE_MAX;
 };
 
-// Results of different builds must not be compared as if only the policy differed: a hash of the program
-// itself tells builds apart.
+// Identifies the build by version and a hash of the executable, so that results of different builds are not
+// compared as if only the policy differed.
 std::string build_id() {
   std::ifstream program("/proc/self/exe", std::ios::binary);
   const std::string bytes{std::istreambuf_iterator<char>(program), {}};
@@ -63,7 +63,7 @@
   std::ofstream stream(html_file);
   stream << html;
   stream.flush();
-  if (!stream) throw yaml::Error(html_file + ":1:1: report: a file that can be written");
+  if (!stream) throw yaml::Error(html_file + ":1:1: report: cannot write the file");
   return ExitCode::done;
 }
 
@@ -76,19 +76,21 @@
 
 void add_run(CommandLine& line, CLI::App* group) {
   auto options = std::make_shared<RunOptions>();
-  auto* run = line.add_command_in(group, "run", "Run what a plan asks for and a file lacks",
-                                  [options] { return run_experiment(*options); });
+  auto* run =
+      line.add_command_in(group, "run", "Run those runs of a plan that a results file does not contain yet",
+                          [options] { return run_experiment(*options); });
   run->add_option("plan", options->plan_file, "Plan, YAML (docs/operators/experiments.md)")->required();
-  run->add_option("--out", options->results_file, "Results, SQLite; goes on where it was left")->required();
+  run->add_option("--out", options->results_file, "Results, SQLite; an interrupted run is continued")
+      ->required();
   run->add_option("--threads", options->threads);
-  run->add_option("--most", options->max_runs, "No more runs than this, this time");
+  run->add_option("--most", options->max_runs, "Maximum number of runs in this invocation");
 }
 
 void add_report(CommandLine& line, CLI::App* group) {
   auto results_file = std::make_shared<std::string>();
   auto html_file = std::make_shared<std::string>();
   auto* report =
-      line.add_command_in(group, "report", "A table, and one HTML file with charts",
+      line.add_command_in(group, "report", "Print a table, and write one HTML file with charts",
                           [results_file, html_file] { return report_experiment(*results_file, *html_file); });
   report->add_option("results", *results_file)->required();
   report->add_option("--out", *html_file, "HTML file");
@@ -98,7 +100,7 @@
   auto first_file = std::make_shared<std::string>();
   auto second_file = std::make_shared<std::string>();
   auto* compare = line.add_command_in(
-      group, "compare", "What changed from A to B, beyond noise",
+      group, "compare", "Print the changes from results A to B that exceed noise",
       [first_file, second_file] { return compare_experiments(*first_file, *second_file); });
   compare->add_option("a", *first_file)->required();
   compare->add_option("b", *second_file)->required();
@@ -107,7 +109,7 @@
 }  // namespace
 
 void add_experiment_commands(CommandLine& line) {
-  auto* group = line.add_group("experiment", "Policies and parameters on many emulated days");
+  auto* group = line.add_group("experiment", "Compare policies and parameters on many emulated days");
   add_run(line, group);
   add_report(line, group);
   add_compare(line, group);
--- a/src/cli/explore.cpp
+++ b/src/cli/explore.cpp
@@ -1,5 +1,5 @@
-// heronwell explore: model checking of event orders (docs/explore.md). `run` searches named models, `replay`
-// plays a counter-example again, `worlds` lists the models, `tables` prints the state tables.
+// The sub-commands of `explore` model-check event orders (docs/explore.md): `run` searches the named models,
+// `replay` replays a counter-example, `worlds` lists the models, `tables` prints the state tables.
 #include <fmt/format.h>
 #include <sys/resource.h>
 
@@ -21,13 +21,13 @@
 namespace {
 
 struct SearchOptions {
-  std::vector<std::string> models;  // none: all
+  std::vector<std::string> models;  // empty: all
   explore::Bounds bounds;
-  double max_seconds = 0;  // of a model, about; 0: no limit
-  double max_mib = 0;      // of the process, about; 0: no limit
+  double max_seconds = 0;  // per model, approximate; 0: no limit
+  double max_mib = 0;      // of the whole process, approximate; 0: no limit
   bool no_fair = false;
   bool print_pairs = false;
-  std::string counter_example_folder;  // empty: they are only printed
+  std::string counter_example_folder;  // empty: counter-examples are only printed
 };
 
 double peak_memory_mib() {
@@ -42,7 +42,8 @@
   for (const auto& name : names) {
     const auto* plan = explore::world_named(name);
     if (plan == nullptr)
-      throw yaml::Error("command line:1:1: world: expected a name of 'explore worlds', not \"" + name + "\"");
+      throw yaml::Error("command line:1:1: world: expected a name listed by 'explore worlds', not \"" + name +
+                        "\"");
     plans.push_back(*plan);
   }
   return plans;
@@ -95,7 +96,7 @@
                              std::get<2>(pair), one.to.empty() ? "(none)" : one.to, one.times);
 }
 
-// `failed`: a property is broken in one of the models.
+// Returns `failed` if a property is violated in one of the models.
 ExitCode run_search(const SearchOptions& options) {
   bool broken = false;
   std::map<explore::Pair, explore::Met> met;
@@ -117,15 +118,15 @@
   return broken ? ExitCode::failed : ExitCode::done;
 }
 
-// `failed`: it still breaks a property.
+// Returns `failed` if the counter-example still violates a property.
 ExitCode replay_counter_example(const std::string& file) {
   std::ifstream stream(file, std::ios::binary);
   const std::string text{std::istreambuf_iterator<char>(stream), {}};
-  if (!stream) throw yaml::Error(file + ":1:1: cannot be read");
+  if (!stream) throw yaml::Error(file + ":1:1: cannot read the file");
   const auto counter_example = explore::read_story(text, file);
   const auto* plan = explore::world_named(counter_example.world);
   if (plan == nullptr)
-    throw yaml::Error(file + ":1:1: world: there is none named \"" + counter_example.world + "\"");
+    throw yaml::Error(file + ":1:1: world: unknown model \"" + counter_example.world + "\"");
   std::vector<std::string> lines;
   const auto broken = explore::replay(*plan, counter_example.choices, lines);
   for (const auto& line : lines) std::cout << line << "\n";
@@ -148,32 +149,36 @@
   auto options = std::make_shared<SearchOptions>();
   auto& bounds = options->bounds;
   bounds.threads = std::max(1U, std::thread::hardware_concurrency());
-  auto* run = line.add_command_in(group, "run", "Search named worlds, or all",
+  auto* run = line.add_command_in(group, "run", "Search the named models, or all",
                                   [options] { return run_search(*options); });
-  run->add_option("world", options->models, "Names; see 'explore worlds'");
-  run->add_option("--states", bounds.states, "States to visit at most, about")->capture_default_str();
-  run->add_option("--depth", bounds.depth, "Events from the start at most")->capture_default_str();
-  run->add_option("--seconds", options->max_seconds, "Of a world at most, about; 0: no limit");
-  run->add_option("--memory", options->max_mib, "MiB of this process at most, about; 0: no limit");
-  run->add_option("--threads", bounds.threads, "Threads");
-  run->add_flag("--exact", bounds.exact, "Merge no states: the full tree");
-  run->add_flag("!--no-reduction", bounds.reduce, "Try both orders of steps with nothing in common");
-  run->add_flag("--no-fair", options->no_fair, "Leave out that each state is left in the end");
-  run->add_flag("--pairs", options->print_pairs, "Print the pairs of (state, event) that were met");
-  run->add_option("--stories", options->counter_example_folder, "Folder for counter-examples");
+  run->add_option("world", options->models, "Names of models, as listed by 'explore worlds'");
+  run->add_option("--states", bounds.states, "Approximate maximum number of states to visit")
+      ->capture_default_str();
+  run->add_option("--depth", bounds.depth, "Maximum number of events from the initial state")
+      ->capture_default_str();
+  run->add_option("--seconds", options->max_seconds, "Approximate time limit for each model; 0: no limit");
+  run->add_option("--memory", options->max_mib,
+                  "Approximate memory limit of this process in MiB; 0: no limit");
+  run->add_option("--threads", bounds.threads, "Number of search threads");
+  run->add_flag("--exact", bounds.exact, "Merge no equal states: search the full tree");
+  run->add_flag("!--no-reduction", bounds.reduce, "Try both orders of independent steps");
+  run->add_flag("--no-fair", options->no_fair, "Skip the check that every state is left eventually");
+  run->add_flag("--pairs", options->print_pairs, "Print the (state, event) pairs that occurred");
+  run->add_option("--stories", options->counter_example_folder, "Folder to write counter-examples to");
 }
 
 }  // namespace
 
 void add_explore_commands(CommandLine& line) {
-  auto* group = line.add_group("explore", "Try every order of events in small worlds (docs/explore.md)");
+  auto* group =
+      line.add_group("explore", "Model-check every order of events in small models (docs/explore.md)");
   add_run(line, group);
   auto file = std::make_shared<std::string>();
-  auto* replay = line.add_command_in(group, "replay", "Play a counter-example again",
+  auto* replay = line.add_command_in(group, "replay", "Replay a counter-example",
                                      [file] { return replay_counter_example(*file); });
   replay->add_option("file", *file)->required();
-  line.add_command_in(group, "worlds", "List the named worlds", list_models);
-  line.add_command_in(group, "tables", "Print the tables of states, as docs/path.md has them",
+  line.add_command_in(group, "worlds", "List the models", list_models);
+  line.add_command_in(group, "tables", "Print the state tables, in the form of docs/path.md",
                       print_state_tables);
 }
 
--- a/src/cli/follow.cpp
+++ b/src/cli/follow.cpp
@@ -1,5 +1,5 @@
-// heronwell follow: prints one request's way as a timeline, from the routers' trace files. Exit code `failed`
-// where the trace is in none of them.
+// The sub-command `follow` prints the spans of one trace as a timeline, read from the routers' trace files.
+// The exit code is `failed` if no file contains the trace.
 #include <fstream>
 #include <iostream>
 #include <memory>
@@ -16,7 +16,7 @@
 constexpr std::size_t kTraceIdDigits = 32;  // W3C Trace Context: 16 bytes in hex
 
 struct FollowOptions {
-  std::string trace;  // trace id, or a traceparent that contains it
+  std::string trace;  // trace id, or a traceparent value
   std::vector<std::string> files;
 };
 
@@ -28,11 +28,11 @@
   return id;
 }
 
-std::vector<std::string> read_lines_with(const std::string& id, const std::vector<std::string>& files) {
+std::vector<std::string> read_lines_containing(const std::string& id, const std::vector<std::string>& files) {
   std::vector<std::string> lines;
   for (const auto& file : files) {
     std::ifstream stream(file);
-    if (!stream) throw yaml::Error(file + ":1:1: cannot be read");
+    if (!stream) throw yaml::Error(file + ":1:1: cannot read the file");
     for (std::string line; std::getline(stream, line);)
       if (line.find(id) != std::string::npos) lines.push_back(std::move(line));
   }
@@ -41,12 +41,12 @@
 
 ExitCode follow(const FollowOptions& options) {
   const auto id = parse_trace_id(options.trace);
-  const auto lines = read_lines_with(id, options.files);
+  const auto lines = read_lines_containing(id, options.files);
   std::size_t malformed = 0;
   const auto text = trace::timeline(lines, id, malformed);
   std::cout << text;
-  if (malformed > 0) std::cerr << malformed << " lines are no OTLP" << std::endl;
-  if (text.empty()) std::cerr << "trace " << id << " is in none of these files" << std::endl;
+  if (malformed > 0) std::cerr << malformed << " lines are not valid OTLP" << std::endl;
+  if (text.empty()) std::cerr << "trace " << id << " was not found in these files" << std::endl;
   return text.empty() ? ExitCode::failed : ExitCode::done;
 }
 
@@ -54,9 +54,11 @@
 
 void add_follow_command(CommandLine& line) {
   auto options = std::make_shared<FollowOptions>();
-  auto* command = line.add_command("follow", "Print one request's way from the routers' trace files",
-                                   [options] { return follow(*options); });
-  command->add_option("trace", options->trace, "Its trace id, 32 hex digits, or a traceparent")->required();
+  auto* command =
+      line.add_command("follow", "Print the timeline of one request from the routers' trace files",
+                       [options] { return follow(*options); });
+  command->add_option("trace", options->trace, "Trace id of the request (32 hex digits), or a traceparent")
+      ->required();
   command->add_option("files", options->files, "Trace files of the routers")->required();
 }
 
--- a/src/cli/groups.cpp
+++ b/src/cli/groups.cpp
@@ -1,5 +1,5 @@
-// heronwell groups: the tree of resource groups of a running router as it stands; and `groups explain`, which
-// selector a request would match.
+// The sub-command `groups` prints the current tree of resource groups of a running router; `groups explain`
+// prints which selector of a configuration matches a request.
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
@@ -19,7 +19,7 @@
 namespace heronwell::cli {
 namespace {
 
-// For the whole of one GET: a router that does not answer by then is not there.
+// Limit for a whole GET request; a router that exceeds it is treated as unreachable.
 constexpr std::chrono::seconds kHttpTimeout{5};
 
 std::string http_get(const std::string& host, std::uint16_t port, const std::string& path) {
@@ -30,12 +30,13 @@
   const std::string response((std::istreambuf_iterator<char>(stream)), {});
   const auto head_end = response.find("\r\n\r\n");
   if (!response.starts_with("HTTP/1.1 200") || head_end == std::string::npos)
-    throw std::runtime_error("no groups told by " + host + ":" + std::to_string(port) +
+    throw std::runtime_error("no resource groups received from " + host + ":" + std::to_string(port) +
                              (response.empty() ? "" : " (" + response.substr(9, 3) + ")"));
   return response.substr(head_end + 4);
 }
 
-// The last part of the path, indented by depth; a group made from a template has a star.
+// Returns the last part of the group's path, indented by depth; groups created from a template are marked
+// with a star.
 std::string displayed_name(const nlohmann::json& group) {
   const auto path = group["path"].get<std::string>();
   const auto dot = path.rfind('.');
@@ -58,7 +59,7 @@
 
 std::string table_row(const nlohmann::json& group) {
   constexpr double kPercent = 100;
-  const double lent = group["lent"];  // negative: borrowed
+  const double lent = group["lent"];  // share lent to other groups; negative: borrowed
   return fmt::format("{:<40} {:>7.1f} {:>7.1f} {:>7.1f} {:>7.1f} {:>7} {:>7} {:>10.1f}  {}\n",
                      displayed_name(group), kPercent * group["share_set"].get<double>(),
                      kPercent * group["share_got"].get<double>(), kPercent * std::max(0.0, lent),
@@ -98,11 +99,11 @@
 
 struct ExplainOptions {
   groups::Described request;
-  std::vector<std::string> headers;  // "name: value"
+  std::vector<std::string> headers;  // each "name: value"
   std::string statement;
 };
 
-using Headers = std::map<std::string, std::string, std::less<>>;  // by name in lower case
+using Headers = std::map<std::string, std::string, std::less<>>;  // values by lower-case name
 
 Headers parse_headers(const std::vector<std::string>& lines) {
   Headers headers;
@@ -117,7 +118,7 @@
   return headers;
 }
 
-// `failed`: no selector matches.
+// Returns `failed` if no selector matches.
 ExitCode explain_group(const std::string& config_file, ExplainOptions options) {
   const auto config = config::read_config(yaml::Section::file(config_file));
   if (!config.groups) throw yaml::Error(config_file + ":1:1: groups: missing");
@@ -136,16 +137,16 @@
 void add_explain(CommandLine& line, CLI::App* group) {
   auto options = std::make_shared<ExplainOptions>();
   auto& request = options->request;
-  auto* explain = line.add_command_in(group, "explain", "Which selector a request would match, and why",
+  auto* explain = line.add_command_in(group, "explain", "Print which selector a request matches, and why",
                                       [&line, options] { return explain_group(line.config_file, *options); });
-  explain->add_option("--config", line.config_file, "YAML file of the router")->required();
+  explain->add_option("--config", line.config_file, "Configuration file of the router, YAML")->required();
   explain->add_option("--class", request.cls);
   explain->add_option("--tenant", request.tenant);
   explain->add_option("--statement", options->statement);
   explain->add_option("--operation", request.operation, "Name of the GraphQL operation");
   explain->add_option("--field", request.root_fields, "Root field of the GraphQL operation");
-  explain->add_option("--subject", request.subject, "As authenticated");
-  explain->add_option("--address", request.address, "Of the client");
+  explain->add_option("--subject", request.subject, "Authenticated subject of the client");
+  explain->add_option("--address", request.address, "IP address of the client");
   explain->add_option("--tag", request.tags);
   explain->add_option("--header", options->headers, "name: value");
 }
@@ -154,11 +155,11 @@
 
 void add_groups_commands(CommandLine& line) {
   auto options = std::make_shared<ShowOptions>();
-  auto* groups = line.add_command("groups", "The tree of groups of a running router, as it stands",
+  auto* groups = line.add_command("groups", "Print the current resource groups of a running router",
                                   [options] { return show_groups(*options); });
   groups->add_option("--host", options->host)->capture_default_str();
-  groups->add_option("--port", options->port, "The router's port")->capture_default_str();
-  groups->add_option("--every", options->every, "Again and again, at this pace; 0s: once")
+  groups->add_option("--port", options->port, "Port of the router")->capture_default_str();
+  groups->add_option("--every", options->every, "Interval at which to print again; 0s: print once")
       ->capture_default_str();
   add_explain(line, groups);
 }
--- a/src/cli/list.cpp
+++ b/src/cli/list.cpp
@@ -1,6 +1,6 @@
-// heronwell list: a stand-in endpoint list, served as Consul's health API from a watched YAML file. Standard
-// input takes `late_ms N` (answers are late by N ms) and `away 1` or `away 0` (it does not answer, or does
-// again).
+// The sub-command `list` runs a stand-in endpoint list, which serves the engines of a watched YAML file
+// through Consul's health API. It reads faults from standard input: `late_ms N` delays responses by N ms,
+// `away 1` stops responses, `away 0` resumes them.
 #include "rehearsal/list.hpp"
 
 #include <fmt/format.h>
@@ -19,8 +19,8 @@
 namespace heronwell::cli {
 namespace {
 
-// Between two looks at the file. A rehearsed day changes it at moments of its own and expects the change to
-// be served at once.
+// Polling interval of the YAML file. A day changes the file at scheduled times and expects the change to be
+// served without noticeable delay.
 constexpr std::chrono::milliseconds kFileWatchInterval{10};
 
 struct ListOptions {
@@ -31,24 +31,26 @@
 
 void apply_fault(rehearsal::ListServer& server, rehearsal::Recorder& recorder, const std::string& command) {
   std::istringstream words(command);
-  std::string what;
+  std::string fault;
   double value = 0;
-  words >> what >> value;
+  words >> fault >> value;
   recorder.write(rehearsal::steady_clock_now(), "fault",
-                 fmt::format(R"("what":"{}","value":{})", what, value));
+                 fmt::format(R"("what":"{}","value":{})", fault, value));
   constexpr double kNanosecondsPerMillisecond = 1e6;
-  if (what == "late_ms") server.late(Time(static_cast<std::int64_t>(value * kNanosecondsPerMillisecond)));
-  if (what == "away") server.away(value > 0);
+  if (fault == "late_ms") server.late(Time(static_cast<std::int64_t>(value * kNanosecondsPerMillisecond)));
+  if (fault == "away") server.away(value > 0);
 }
 
-// Serves the file's list, and again whenever its text has changed.
+// Loads the endpoint list from a file into the server, and reloads it whenever the file's content has
+// changed.
 class WatchedFile {
  public:
   WatchedFile(boost::asio::io_context& context, rehearsal::ListServer& server, std::string path)
       : server_(server), path_(std::move(path)), timer_(context) {}
 
-  // Now, and every kFileWatchInterval from then on. Throws yaml::Error where the file is wrong.
-  void look() {
+  // Loads the file if it has changed, and schedules the next check after kFileWatchInterval. Throws
+  // yaml::Error if the content is invalid. An unreadable file leaves the previous list in place.
+  void poll_file() {
     std::ifstream stream(path_);
     std::stringstream text;
     text << stream.rdbuf();
@@ -58,7 +60,7 @@
     }
     timer_.expires_after(kFileWatchInterval);
     timer_.async_wait([this](boost::system::error_code error) {
-      if (!error) look();
+      if (!error) poll_file();
     });
   }
 
@@ -77,7 +79,7 @@
                          [&](const std::string& command) { apply_fault(server, recorder, command); });
   process.start();
   WatchedFile file(context, server, options.file);
-  file.look();
+  file.poll_file();
   std::cout << "listening 127.0.0.1:" << server.port() << std::endl;
   context.run();
   recorder.whole(rehearsal::steady_clock_now());
@@ -88,11 +90,11 @@
 
 void add_list_command(CommandLine& line) {
   auto options = std::make_shared<ListOptions>();
-  auto* command = line.add_command("list", "A stand-in engine list, served as Consul's health API",
+  auto* command = line.add_command("list", "Run a stand-in endpoint list with Consul's health API",
                                    [options] { return run_list(*options); });
-  command->add_option("file", options->file, "YAML file of engines, watched")->required();
-  command->add_option("--port", options->port, "Port on 127.0.0.1; 0: any")->capture_default_str();
-  command->add_option("--record", options->record, "File for what its sockets see");
+  command->add_option("file", options->file, "YAML file of engines; changes are served")->required();
+  command->add_option("--port", options->port, "Port on 127.0.0.1; 0: any free port")->capture_default_str();
+  command->add_option("--record", options->record, "File to record socket events in");
 }
 
 }  // namespace heronwell::cli
--- a/src/cli/load.cpp
+++ b/src/cli/load.cpp
@@ -1,4 +1,4 @@
-// heronwell load: clients that play a day's arrivals against running routers.
+// The sub-command `load` runs clients that send a day's arrivals to running routers.
 #include "rehearsal/load.hpp"
 
 #include <fmt/format.h>
@@ -16,8 +16,8 @@
 
 struct LoadOptions {
   std::string day_file;
-  std::string ports;          // of the routers, by commas
-  std::int64_t start_ns = 0;  // of the monotonic clock; 0: now
+  std::string ports;          // of the routers, separated by commas
+  std::int64_t start_ns = 0;  // start time on the monotonic clock, ns; 0: now
   std::string record;
 };
 
@@ -51,12 +51,13 @@
 
 void add_load_command(CommandLine& line) {
   auto options = std::make_shared<LoadOptions>();
-  auto* command = line.add_command("load", "Clients that play a day's arrivals against running routers",
+  auto* command = line.add_command("load", "Run clients that send a day's arrivals to running routers",
                                    [options] { return run_load(*options); });
   command->add_option("day", options->day_file, "Day file")->required();
-  command->add_option("--ports", options->ports, "The routers' ports on 127.0.0.1, by commas")->required();
-  command->add_option("--start", options->start_ns, "Start, in ns of the monotonic clock; 0: now");
-  command->add_option("--record", options->record, "File for what its sockets see");
+  command->add_option("--ports", options->ports, "Ports of the routers on 127.0.0.1, separated by commas")
+      ->required();
+  command->add_option("--start", options->start_ns, "Start time in ns of the monotonic clock; 0: now");
+  command->add_option("--record", options->record, "File to record socket events in");
 }
 
 }  // namespace heronwell::cli
--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,5 +1,5 @@
-// The program: registers the sub-commands (commands.hpp), in the order of the help text, and runs the one
-// named.
+// The program's entry point registers the sub-commands (commands.hpp) in the order of the help text and runs
+// the selected one.
 #include <csignal>
 #include <iostream>
 
@@ -37,8 +37,8 @@
 }  // namespace heronwell::cli
 
 int main(int argc, char** argv) {
-  // Failure: writing to a connection that the peer has reset raises SIGPIPE, which ends the whole process.
-  // Guard: ignored, so that the write fails with EPIPE, an error of that connection alone.
+  // A write to a connection that the peer has reset raises SIGPIPE, which would end the whole process. With
+  // the signal ignored, the write fails with EPIPE, which affects that connection only.
   std::signal(SIGPIPE, SIG_IGN);
   heronwell::cli::CommandLine line;
   heronwell::cli::add_commands(line);
--- a/src/cli/node.cpp
+++ b/src/cli/node.cpp
@@ -1,9 +1,9 @@
-// heronwell node: a router as the operators' platform starts it. Its environment and one JSON file say all
-// there is to say (docs/operators/platform.md):
+// The sub-command `node` runs a router under the operators' platform. It takes no options; its settings come
+// from environment variables and one JSON file (docs/operators/platform.md):
 //
-//   ROUTER_CONFIG   the file
-//   ROUTER_NAME     the router's name, the same as in the file
-//   ROUTER_LISTEN   address:port, the same as in the file
+//   ROUTER_CONFIG   path of the JSON file
+//   ROUTER_NAME     name of the router, which must equal the name in the file
+//   ROUTER_LISTEN   address:port to listen on, which must equal the address in the file
 #include <fmt/format.h>
 #include <spdlog/spdlog.h>
 
@@ -22,7 +22,7 @@
 
 std::string environment_variable(const char* name) {
   const char* value = std::getenv(name);
-  if (value == nullptr) throw std::invalid_argument(fmt::format("{}: expected in the environment", name));
+  if (value == nullptr) throw std::invalid_argument(fmt::format("{}: environment variable is not set", name));
   return value;
 }
 
@@ -32,12 +32,13 @@
   if (!stream) throw std::invalid_argument(fmt::format("ROUTER_CONFIG: cannot read {}", file));
   const std::string json{std::istreambuf_iterator<char>(stream), {}};
   auto config = config::read_platform(json, file);
-  // A router that runs under the name or at the address of another would take that one's requests.
+  // A router with the name or the address of another router would receive that router's requests.
   if (environment_variable("ROUTER_NAME") != config.name)
-    throw std::invalid_argument("ROUTER_NAME: expected " + config.name);
+    throw std::invalid_argument("ROUTER_NAME: does not match the configuration file; expected " +
+                                config.name);
   const auto address = fmt::format("{}:{}", config.listen.at.host, config.listen.at.port);
   if (environment_variable("ROUTER_LISTEN") != address)
-    throw std::invalid_argument("ROUTER_LISTEN: expected " + address);
+    throw std::invalid_argument("ROUTER_LISTEN: does not match the configuration file; expected " + address);
   return config;
 }
 
@@ -56,7 +57,7 @@
 }  // namespace
 
 void add_node_command(CommandLine& line) {
-  line.add_command("node", "Run a router as the operators' platform starts it", run_node);
+  line.add_command("node", "Run a router under the operators' platform", run_node);
 }
 
 }  // namespace heronwell::cli
--- a/src/cli/process_log.cpp
+++ b/src/cli/process_log.cpp
@@ -9,7 +9,7 @@
 namespace heronwell::cli {
 namespace {
 
-// What a crash may lose of a log file, in exchange for not writing each line by itself.
+// A log file is flushed at this interval rather than after each line; a crash loses at most this much of it.
 constexpr std::chrono::seconds kFileFlushInterval{1};
 
 }  // namespace
--- a/src/cli/schema_check.cpp
+++ b/src/cli/schema_check.cpp
@@ -1,4 +1,5 @@
-// heronwell schema check: checks a GraphQL schema with its statements, and prints what it binds.
+// The sub-command `schema check` validates a GraphQL schema with its statements, and prints which fields are
+// bound to which statements.
 #include <iostream>
 #include <memory>
 
@@ -9,7 +10,7 @@
 namespace heronwell::cli {
 namespace {
 
-// `schema_file`: in place of the configuration's; empty: that one.
+// `schema_file` replaces the schema of the configuration unless it is empty.
 ExitCode check_schema(const std::string& config_file, const std::string& schema_file) {
   auto config = config::read_config(yaml::Section::file(config_file));
   if (!schema_file.empty()) {
@@ -27,10 +28,11 @@
   auto* group = line.add_group("schema", "GraphQL schemas");
   auto schema_file = std::make_shared<std::string>();
   auto* check =
-      line.add_command_in(group, "check", "Check a schema with its statements, and print what it binds",
+      line.add_command_in(group, "check", "Check a schema with its statements, and print the bindings",
                           [&line, schema_file] { return check_schema(line.config_file, *schema_file); });
-  check->add_option("file", *schema_file, "Schema file; else the configuration's");
-  check->add_option("--config", line.config_file, "YAML file, for the classes' names")->required();
+  check->add_option("file", *schema_file, "Schema file; default: the one in the configuration");
+  check->add_option("--config", line.config_file, "Configuration file, YAML, with the names of the classes")
+      ->required();
 }
 
 }  // namespace heronwell::cli
--- a/src/cli/serve.cpp
+++ b/src/cli/serve.cpp
@@ -1,4 +1,4 @@
-// heronwell serve: a router.
+// The sub-command `serve` runs a router.
 #include "cli/serve.hpp"
 
 #include <spdlog/spdlog.h>
@@ -12,8 +12,8 @@
 namespace heronwell::cli {
 namespace {
 
-// How long open requests are waited for after SIGTERM. Below the ten seconds and more that process managers
-// usually give before they kill.
+// Maximum wait for open requests after SIGTERM. It is below the ten seconds or more that process managers
+// usually allow before they send SIGKILL.
 constexpr Time kMaxShutdownDuration = std::chrono::seconds(5);
 
 }  // namespace
@@ -32,7 +32,7 @@
   auto* command = line.add_command("serve", "Run a router", [&line] {
     return serve(config::read_config(yaml::Section::file(line.config_file)));
   });
-  command->add_option("--config", line.config_file, "YAML file")->required();
+  command->add_option("--config", line.config_file, "Configuration file, YAML")->required();
 }
 
 }  // namespace heronwell::cli
--- a/src/cli/serve.hpp
+++ b/src/cli/serve.hpp
@@ -1,4 +1,4 @@
-// Running one router from its configuration; `serve` and `demo` share it.
+// Runs one router; shared by the sub-commands `serve` and `demo`.
 #pragma once
 
 #include "cli/exit_code.hpp"
@@ -6,8 +6,8 @@
 
 namespace heronwell::cli {
 
-// Serves until SIGINT or SIGTERM. Prints `listening http://HOST:PORT` on standard output once queries are
-// answered.
+// Runs a router until SIGINT or SIGTERM. Prints `listening http://HOST:PORT` to standard output once it
+// accepts queries.
 ExitCode serve(const config::Config& config);
 
 }  // namespace heronwell::cli
--- a/src/cli/stand_in_process.cpp
+++ b/src/cli/stand_in_process.cpp
@@ -8,7 +8,7 @@
 
 namespace heronwell::cli {
 
-// The descriptor is duplicated because Asio closes the one it holds.
+// Standard input is duplicated because Asio closes the descriptor that it owns.
 StandInProcess::StandInProcess(boost::asio::io_context& context,
                                std::function<void(const std::string&)> on_command)
     : context_(context),
--- a/src/cli/stand_in_process.hpp
+++ b/src/cli/stand_in_process.hpp
@@ -1,5 +1,5 @@
-// What the stand-in processes (`engine`, `list`) have in common: they run on one thread until SIGINT or
-// SIGTERM, and take commands, one a line, on standard input.
+// The common part of the stand-in processes (`engine`, `list`), which run on one thread until SIGINT or
+// SIGTERM and read commands from standard input, one per line.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,12 +11,12 @@
 
 namespace heronwell::cli {
 
-// `context` must outlive it.
+// Stops `context` on SIGINT or SIGTERM and reads commands. `context` must outlive the object.
 class StandInProcess {
  public:
-  // `on_command` gets each line, without its end. The end of the input is not the end of the process.
+  // `on_command` receives each line without its line end. The process keeps running at the end of the input.
   StandInProcess(boost::asio::io_context& context, std::function<void(const std::string&)> on_command);
-  // Begins to read commands and to wait for the signals.
+  // Starts reading commands and waiting for signals.
   void start();
 
  private:
--- a/src/cli/swarm.cpp
+++ b/src/cli/swarm.cpp
@@ -1,5 +1,5 @@
-// heronwell swarm: plays and audits many emulated days of faults drawn at random. Exit code `failed` where
-// one broke something.
+// The sub-command `swarm` runs and audits many emulated days with random faults. The exit code is `failed` if
+// a day violates a rule.
 #include "emulator/swarm.hpp"
 
 #include <fmt/format.h>
@@ -40,14 +40,14 @@
 void add_swarm_command(CommandLine& line) {
   auto plan = std::make_shared<emulator::SwarmPlan>();
   plan->threads = std::max(1U, std::thread::hardware_concurrency());
-  auto* command = line.add_command("swarm", "Play and audit days of troubles drawn at random",
+  auto* command = line.add_command("swarm", "Run and audit emulated days with random faults",
                                    [plan] { return run_swarm(*plan); });
-  command->add_option("file", plan->base, "Day file: clients, classes and rules")->required();
-  command->add_option("--out", plan->folder, "Folder for days that break something")->required();
+  command->add_option("file", plan->base, "Day file with clients, classes and rules")->required();
+  command->add_option("--out", plan->folder, "Folder for day files that violate a rule")->required();
   command->add_option("--days", plan->days)->capture_default_str();
-  command->add_option("--seed", plan->seed, "Of the first day")->capture_default_str();
+  command->add_option("--seed", plan->seed, "Seed of the first day")->capture_default_str();
   command->add_option("--threads", plan->threads);
-  command->add_flag("--fast", plan->fast, "Messages between processes in place of bytes");
+  command->add_flag("--fast", plan->fast, "Pass messages between processes without encoding them to bytes");
 }
 
 }  // namespace heronwell::cli
