--- a/src/trace/otlp.cpp
+++ b/src/trace/otlp.cpp
@@ -10,7 +10,8 @@
 namespace heronwell::trace {
 namespace {
 
-// OTLP writes integers of 64 bits as texts, since JSON's numbers may lose their last digits.
+// OTLP encodes 64-bit integers as JSON strings because many parsers read JSON numbers as doubles and lose
+// digits.
 void put_value(std::string& out, const Value& value) {
   auto to = std::back_inserter(out);
   if (const auto* integer = std::get_if<std::int64_t>(&value)) {
--- a/src/trace/otlp.hpp
+++ b/src/trace/otlp.hpp
@@ -1,4 +1,4 @@
-// Trails in the "OTLP File Exporter" format: TracesData as JSON, one line a trail.
+// Encodes trails in the "OTLP File Exporter" format: one line of TracesData as JSON per trail.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace heronwell::trace {
 
-// The line, its end included. `router` and `version` name the sender. `unix_offset`: Unix time minus the
-// clock of the spans.
+// Returns the line, including the newline. `router` and `version` become the service instance id and the
+// instrumentation scope's version. `unix_offset` is the Unix time minus the time of the spans' clock.
 std::string otlp_line(const Trail& trail, std::string_view router, std::string_view version,
                       Time unix_offset);
 
--- a/src/trace/timeline.cpp
+++ b/src/trace/timeline.cpp
@@ -17,14 +17,14 @@
 constexpr int kStatusError = 2;  // OTLP's STATUS_CODE_ERROR
 constexpr double kNanosecondsPerMillisecond = 1e6;
 
-// A span as a file has it.
+// A span as read from a file.
 struct FileSpan {
   std::string id, parent, name, router, attributes;
   std::int64_t start = 0, end = 0;  // Unix time, ns
   bool error = false;
 };
 
-// An attribute's value, {"stringValue": ...} or another of OTLP's types, as text.
+// Formats an OTLP attribute value, an object such as {"stringValue": ...}, as text.
 std::string value_text(const Json& value) {
   for (const auto& [type, inner] : value.items())
     return inner.is_string() ? inner.get<std::string>() : inner.dump();
@@ -53,8 +53,8 @@
   return span;
 }
 
-// Appends the spans of `trace_id` in one line. Throws where the line is no OTLP; spans before that place
-// stay.
+// Appends the spans of trace `trace_id` in one line to `spans`. Throws if the line is not valid OTLP; spans
+// read before the error remain in `spans`.
 void read_line(const std::string& line, std::string_view trace_id, std::vector<FileSpan>& spans) {
   const auto json = Json::parse(line, nullptr, false);
   for (const auto& resource : json.at("resourceSpans")) {
@@ -65,7 +65,7 @@
   }
 }
 
-// The spans by parent; those whose parent is in none of the files are below "".
+// Spans by the id of their parent; the key is "" for spans whose parent is in none of the files.
 using Children = std::map<std::string, std::vector<const FileSpan*>>;
 
 Children group_by_parent(const std::vector<FileSpan>& spans) {
@@ -83,9 +83,11 @@
                  span.name, span.error ? " !" : "", depth == 0 ? "  on " + span.router : "", span.attributes);
 }
 
-// Depth first, without recursion, each parent's children once: spans in a file may form a cycle.
+// Prints the spans depth first. It is iterative and prints the children of a parent once, because the parent
+// ids in a file may form a cycle.
 void print_tree(std::string& out, Children children, std::int64_t origin) {
-  std::vector<std::pair<const FileSpan*, std::size_t>> pending;  // with their depths, the next one last
+  // A stack of spans with their depths.
+  std::vector<std::pair<const FileSpan*, std::size_t>> pending;
   const auto push_children = [&](const std::string& parent, std::size_t depth) {
     const auto found = children.find(parent);
     if (found == children.end()) return;
--- a/src/trace/tracer.cpp
+++ b/src/trace/tracer.cpp
@@ -2,18 +2,18 @@
 
 namespace heronwell::trace {
 
-TrailPtr Tracer::begin(std::string_view traceparent, std::uint64_t drawn_high,
-                       std::uint64_t drawn_low) const {
+TrailPtr Tracer::begin(std::string_view traceparent, std::uint64_t random_high,
+                       std::uint64_t random_low) const {
   if (!on()) return nullptr;
   auto context = read_traceparent(traceparent);
   if (!context) {
     context.emplace();
-    context->trace = {drawn_high, drawn_low | 1};
-    context->sampled = head_keeps(context->trace, options_.sample);
+    context->trace = {random_high, random_low | 1};
+    context->sampled = head_samples(context->trace, options_.sample);
   }
   if (!context->sampled && !options_.keep_trouble) return nullptr;
-  auto trail = std::make_shared<Trail>(*context, drawn_high ^ (drawn_low << 1));
-  constexpr std::size_t kUsualSpans = 8;  // of a request with one attempt
+  auto trail = std::make_shared<Trail>(*context, random_high ^ (random_low << 1));
+  constexpr std::size_t kUsualSpans = 8;  // a request with one attempt needs no more
   trail->spans.reserve(kUsualSpans);
   return trail;
 }
--- a/src/trace/tracer.hpp
+++ b/src/trace/tracer.hpp
@@ -1,8 +1,9 @@
-// Begins trails and chooses which are written. Where they are written is the sink's business: the daemon's
-// writes a file (daemon/trace_file.hpp). No I/O and no clock.
+// Tracer creates the trail of each request and decides which trails are written. A sink writes them; the
+// daemon's sink appends to a file (daemon/trace_file.hpp). The tracer does no I/O and reads no clock.
 //
-// A trail is written where its trace is sampled, by the caller's traceparent or else by the head decision, or
-// where it met trouble (rejected, failed, late, retried) and trace.keep_trouble is on.
+// A trail is written if its trace is sampled, or if the request was rejected, failed, late or retried and
+// trace.keep_trouble is on. The caller's traceparent decides whether a trace is sampled; without a valid one
+// head sampling decides.
 #pragma once
 
 #include <functional>
@@ -12,30 +13,31 @@
 
 namespace heronwell::trace {
 
-// Section `trace` of the configuration.
+// The `trace` section of the configuration.
 struct Options {
-  std::string file;          // empty: off
-  double sample = 0;         // part of all requests that is sampled, 0 to 1
-  bool keep_trouble = true;  // requests that met trouble are written as well
-  std::size_t queue = 4096;  // trails that wait to be written: some seconds of a busy router's samples
-  std::uint64_t file_bytes = 256 << 20;  // then the file becomes FILE.1, in place of the one before
-  bool comment = false;  // statements carry traceparent in a comment, in the form of sqlcommenter
+  std::string file;          // empty: tracing is off
+  double sample = 0;         // fraction of requests that are sampled, 0 to 1
+  bool keep_trouble = true;  // also write rejected, failed, late and retried requests
+  std::size_t queue = 4096;  // capacity for trails to be written: some seconds of a busy router's samples
+  std::uint64_t file_bytes = 256 << 20;  // size at which the file is renamed to FILE.1, replacing the older
+  bool comment = false;  // append traceparent to statements as a comment in sqlcommenter format
 };
 
 class Tracer {
  public:
-  // Called on the finishing thread, which may be any, for each trail that is to be written.
+  // Called for each trail to be written, on the thread that calls finish(), which may be any thread.
   using Sink = std::function<void(const TrailPtr&)>;
-  // Without a sink it is off.
+  // Tracing is off if `sink` is null.
   Tracer(Options options, Sink sink) : options_(std::move(options)), sink_(std::move(sink)) {}
 
   [[nodiscard]] bool on() const { return sink_ != nullptr; }
   [[nodiscard]] const Options& options() const { return options_; }
-  // A trail for a request, or null where nothing of it could be written. `traceparent`: the field as it came,
-  // or empty. `drawn_high`, `drawn_low`: random numbers for a trace id, used where that field gives none.
-  [[nodiscard]] TrailPtr begin(std::string_view traceparent, std::uint64_t drawn_high,
-                               std::uint64_t drawn_low) const;
-  // The request is over: writes the trail or drops it.
+  // Returns a trail for a new request, or null if the request's trail could not be written whatever its
+  // outcome. `traceparent` is the received header field or empty. `random_high` and `random_low` are random
+  // numbers; they become the trace id if `traceparent` is not valid.
+  [[nodiscard]] TrailPtr begin(std::string_view traceparent, std::uint64_t random_high,
+                               std::uint64_t random_low) const;
+  // Ends a request: passes its trail to the sink or drops it. `trail` must not be null.
   void finish(const TrailPtr& trail) const;
 
  private:
--- a/src/trace/trail.cpp
+++ b/src/trace/trail.cpp
@@ -7,7 +7,7 @@
 namespace heronwell::trace {
 namespace {
 
-// SplitMix64.
+// The SplitMix64 generator.
 std::uint64_t next_random(std::uint64_t& state) {
   state += 0x9e3779b97f4a7c15ULL;
   auto z = state;
@@ -16,8 +16,8 @@
   return z ^ (z >> 31);
 }
 
-// Lower-case hex digits only, as the standard asks.
-std::optional<std::uint64_t> hex_number(std::string_view text) {
+// Accepts lower-case hex digits only, as W3C Trace Context requires.
+std::optional<std::uint64_t> parse_hex(std::string_view text) {
   std::uint64_t value = 0;
   for (const char c : text) {
     const bool digit = c >= '0' && c <= '9', letter = c >= 'a' && c <= 'f';
@@ -34,10 +34,10 @@
 
 std::optional<Context> read_traceparent(std::string_view field) {
   if (field.size() < 55 || field[2] != '-' || field[35] != '-' || field[52] != '-') return std::nullopt;
-  const auto version = hex_number(field.substr(0, 2));
-  const auto high = hex_number(field.substr(3, 16)), low = hex_number(field.substr(19, 16));
-  const auto parent = hex_number(field.substr(36, 16));
-  const auto flags = hex_number(field.substr(53, 2));
+  const auto version = parse_hex(field.substr(0, 2));
+  const auto high = parse_hex(field.substr(3, 16)), low = parse_hex(field.substr(19, 16));
+  const auto parent = parse_hex(field.substr(36, 16));
+  const auto flags = parse_hex(field.substr(53, 2));
   if (!version || !high || !low || !parent || !flags || *version == 0xff) return std::nullopt;
   if (*version == 0 ? field.size() != 55 : field.size() > 55 && field[55] != '-') return std::nullopt;
   if ((*high == 0 && *low == 0) || *parent == 0) return std::nullopt;
@@ -48,9 +48,10 @@
   return fmt::format("00-{}-{}-{}", trace.hex(), hex(span), sampled ? "01" : "00");
 }
 
-bool head_keeps(const TraceId& trace, double part) {
-  // The trace id's last 56 bits are random (Trace Context, level 2): a threshold on them is alike everywhere.
-  return static_cast<double>(trace.low & ((1ULL << 56) - 1)) < part * static_cast<double>(1ULL << 56);
+bool head_samples(const TraceId& trace, double fraction) {
+  // The last 56 bits of a trace id are random (Trace Context, level 2), so that all routers that compare them
+  // with the same threshold make the same decision.
+  return static_cast<double>(trace.low & ((1ULL << 56) - 1)) < fraction * static_cast<double>(1ULL << 56);
 }
 
 SpanId Trail::fresh() {
@@ -60,7 +61,7 @@
 }
 
 Span* Trail::add(const char* name, SpanId parent, Time from, Time to) {
-  if (spans.size() >= kMostSpans) {
+  if (spans.size() >= kMaxSpans) {
     ++left_out;
     return nullptr;
   }
