--- a/tests/clients/corpus.mjs
+++ b/tests/clients/corpus.mjs
@@ -1,5 +1,7 @@
-// Writes tests/graphql/corpus.jsonl: documents with what graphql-js, the reference implementation, makes of them.
-// Whole documents are varied by a seeded generator: tokens left out, doubled, swapped, or put in from elsewhere.
+// Writes tests/graphql/corpus.jsonl: GraphQL documents with the results of graphql-js, the reference
+// implementation, which are the printed document and validation errors, or the location of the syntax error.
+// A seeded generator derives further documents from valid ones: it removes, doubles, swaps, inserts or
+// replaces tokens.
 //   node corpus.mjs > ../graphql/corpus.jsonl
 import {Lexer, Source, TokenKind, buildSchema, parse, print, validate} from 'graphql';
 
@@ -19,7 +21,7 @@
 type Subscription { moved: Place other: Place }`;
 const schema = buildSchema(sdl);
 
-const whole = [
+const validDocuments = [
   '{shop{id}}', 'query A($i:ID!=5){place(id:$i){...P ...on Shop{open}}}fragment P on Place{id name(lang:"de")}',
   'query($f:Filter){find(filter:$f,first:3){__typename ...on Gate{level}...on Place{name}}}',
   '{find(filter:{ids:[1,"b"],kind:GATE,near:{ids:[]},any:{x:[RED,1.5e3,null]}}){...on Shop{id}}}',
@@ -34,7 +36,7 @@
   'query($a:[Int]=[1,null],$k:Kind=SHOP,$f:Filter={ids:["q"]}){number(l:$a)find(filter:{ids:[],kind:$k,near:$f}){__typename}}',
   '{find(first:1){...{...on Shop{id}}}}', 'query V($v:ID){find(filter:{ids:[$v]}){__typename}}',
   '{shop{open level}other:place(id:12345678901234567890){id}}', 'query($b:Boolean=true){number(b:$b)lone{x}}'];
-const wrong = [
+const invalidDocuments = [
   '', '{', '}', '{}', '{a', '{shop(', '{shop(id:)}', 'query', 'query($a){a}', 'query($a:Int=$b){number}', '{a(b:"x', '{a(b:"""x', '{a(b:01)}',
   '{a(b:1.)}', '{a(b:1e)}', '{a(b:.5)}', '{a(b:1x)}', '{a(b:-)}', '{a(b:"\\q")}', '{a(b:"\\u12")}', '{a(b:"\\uD800")}', '{a(b:"\\u{110000}")}',
   '{a(b:"\n")}', '{a b:}', '{...}', '{...on}', '{...on on{a}}', 'fragment on on A{a}', 'fragment A{a}', '{a@}', '{a@b(}', '{a:b:c}', '{a(b:$)}',
@@ -53,19 +55,19 @@
   for (let t = lexer.advance(); t.kind !== TokenKind.EOF; t = lexer.advance()) out.push(text.slice(t.start, t.end));
   return out;
 }
-const pool = whole.flatMap(tokens);
+const tokenPool = validDocuments.flatMap(tokens);
 const isName = token => /^[_A-Za-z]/.test(token);
-const names = [...new Set(pool.filter(isName))];
-const all = [...whole, ...wrong];
+const names = [...new Set(tokenPool.filter(isName))];
+const all = [...validDocuments, ...invalidDocuments];
 while (all.length < 1000) {
-  const list = tokens(whole[random(whole.length)]), at = random(list.length);
+  const list = tokens(validDocuments[random(validDocuments.length)]), at = random(list.length);
   const kind = random(9);
   if (kind === 0) list.splice(at, 1);
   if (kind === 1) list.splice(at, 0, list[at]);
-  if (kind === 2) list.splice(at, 0, pool[random(pool.length)]);
-  if (kind === 3) list[at] = pool[random(pool.length)];
+  if (kind === 2) list.splice(at, 0, tokenPool[random(tokenPool.length)]);
+  if (kind === 3) list[at] = tokenPool[random(tokenPool.length)];
   if (kind === 4) { const other = random(list.length); [list[at], list[other]] = [list[other], list[at]]; }
-  if (kind > 4) {  // stays a document, mostly
+  if (kind > 4) {  // replace a name, which usually keeps the syntax valid
     const named = list.map((token, i) => isName(token) ? i : -1).filter(i => i >= 0);
     list[named[random(named.length)]] = names[random(names.length)];
   }
--- a/tests/e2e/exits_with.sh
+++ b/tests/e2e/exits_with.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# exits_with.sh CODE COMMAND...: passes if the command ends with that code.
-want=$1; shift
-"$@"; got=$?
-[ "$got" = "$want" ] || { echo "exit $got, expected $want"; exit 1; }
+# Usage: exits_with.sh CODE COMMAND... Runs the command and succeeds if its exit code is CODE.
+expected=$1; shift
+"$@"; actual=$?
+[ "$actual" = "$expected" ] || { echo "exit code $actual, expected $expected"; exit 1; }
--- a/tests/e2e/fleet_test.cpp
+++ b/tests/e2e/fleet_test.cpp
@@ -1,108 +1,109 @@
-// Engines that come and go, lists that are late or away, and what may be sent meanwhile.
-#include "rig.hpp"
+// Tests of engines that drain, fail or restart, of an unavailable endpoint list, and of what the router sends
+// in these states.
+#include "test_system.hpp"
 
 namespace heronwell::e2e {
 namespace {
 
-TEST(Lists, ADrainWhileAnAttemptIsBeingDialledKeepsTheStatementBack) {
-  Rig rig({.engines = 2, .settings = ""});
-  rig.fault(0, "slow_start_ms 150");
-  rig.fault(1, "slow_start_ms 150");
-  auto client = rig.client();
-  client.post(Rig::body("load", "a", "work_ms=1"));
+TEST(Lists, ADrainDuringConnectionSetUpPreventsTheStatement) {
+  TestSystem system({.engines = 2, .settings = ""});
+  system.inject_fault(0, "slow_start_ms 150");
+  system.inject_fault(1, "slow_start_ms 150");
+  auto client = system.client();
+  client.post(TestSystem::query_body("load", "a", "work_ms=1"));
   std::this_thread::sleep_for(50ms);
-  rig.state(0, EndpointState::draining);  // one of them was being dialled
-  EXPECT_EQ(client.answer().status, 200);
-  EXPECT_EQ(rig.seen("read", "a", 0), 0U);
-  EXPECT_EQ(rig.seen("began", "a", 1), 1U);
+  system.set_engine_state(0, EndpointState::draining);  // the router is connecting to one of the engines
+  EXPECT_EQ(client.read_response().status, 200);
+  EXPECT_EQ(system.event_count("read", "a", 0), 0U);
+  EXPECT_EQ(system.event_count("began", "a", 1), 1U);
 }
 
-TEST(Lists, ADrainedEngineGetsNothingMore) {
-  Rig rig({.engines = 2});
-  auto client = rig.client();
+TEST(Lists, ADrainingEngineReceivesNoNewQueries) {
+  TestSystem system({.engines = 2});
+  auto client = system.client();
   for (int i = 0; i < 20; ++i) {
-    client.post(Rig::body("lookup", "w" + std::to_string(i), "work_ms=1"));
-    ASSERT_EQ(client.answer().status, 200);
+    client.post(TestSystem::query_body("lookup", "w" + std::to_string(i), "work_ms=1"));
+    ASSERT_EQ(client.read_response().status, 200);
   }
-  rig.state(0, EndpointState::draining);
-  ASSERT_TRUE(rig.becomes("heronwell_engines_ready", 1));
+  system.set_engine_state(0, EndpointState::draining);
+  ASSERT_TRUE(system.wait_for_metric("heronwell_engines_ready", 1));
   for (int i = 0; i < 20; ++i) {
-    client.post(Rig::body("lookup", "d" + std::to_string(i), "work_ms=1"));
-    ASSERT_EQ(client.answer().status, 200);
-    EXPECT_EQ(rig.seen("read", "d" + std::to_string(i), 0), 0U);
+    client.post(TestSystem::query_body("lookup", "d" + std::to_string(i), "work_ms=1"));
+    ASSERT_EQ(client.read_response().status, 200);
+    EXPECT_EQ(system.event_count("read", "d" + std::to_string(i), 0), 0U);
   }
-  rig.state(0, EndpointState::ready);
-  ASSERT_TRUE(rig.becomes("heronwell_engines_ready", 2));
-  unsigned again = 0;
-  for (int i = 0; i < 40 && again == 0; ++i) {
-    client.post(Rig::body("lookup", "r" + std::to_string(i), "work_ms=1"));
-    ASSERT_EQ(client.answer().status, 200);
-    again += rig.seen("read", "r" + std::to_string(i), 0);
+  system.set_engine_state(0, EndpointState::ready);
+  ASSERT_TRUE(system.wait_for_metric("heronwell_engines_ready", 2));
+  unsigned count = 0;
+  for (int i = 0; i < 40 && count == 0; ++i) {
+    client.post(TestSystem::query_body("lookup", "r" + std::to_string(i), "work_ms=1"));
+    ASSERT_EQ(client.read_response().status, 200);
+    count += system.event_count("read", "r" + std::to_string(i), 0);
   }
-  EXPECT_GT(again, 0U);
+  EXPECT_GT(count, 0U);
 }
 
-TEST(Lists, ThatAreAwayLeaveTheLastOneInForce) {
-  Rig rig({.engines = 2});
-  rig.on_engines([&] { rig.list().away(true); });
+TEST(Lists, AnUnavailableListLeavesTheLastEndpointsInUse) {
+  TestSystem system({.engines = 2});
+  system.run_on_engine_thread([&] { system.list().away(true); });
   std::this_thread::sleep_for(200ms);
-  auto client = rig.client();
-  client.post(Rig::body("lookup", "a"));
-  EXPECT_EQ(client.answer().status, 200);
-  EXPECT_GT(rig.metric("heronwell_list_failures_total"), 0);
-  rig.on_engines([&] { rig.list().away(false); });
-  rig.state(1, EndpointState::removed);
-  EXPECT_TRUE(rig.becomes("heronwell_engines_ready", 1));
+  auto client = system.client();
+  client.post(TestSystem::query_body("lookup", "a"));
+  EXPECT_EQ(client.read_response().status, 200);
+  EXPECT_GT(system.metric("heronwell_list_failures_total"), 0);
+  system.run_on_engine_thread([&] { system.list().away(false); });
+  system.set_engine_state(1, EndpointState::removed);
+  EXPECT_TRUE(system.wait_for_metric("heronwell_engines_ready", 1));
 }
 
-TEST(Cancels, NeverMeetTheNextStatement) {
-  // Statements are cancelled by clients that leave while others go on; none of those others is ever
-  // cancelled.
-  Rig rig({.engines = 1});
-  auto steady = rig.client();
+TEST(Cancels, NeverAffectAnotherStatement) {
+  // A cancel request for a client that disconnected must not cancel the next statement on the same engine
+  // connection.
+  TestSystem system({.engines = 1});
+  auto steady = system.client();
   for (int i = 0; i < 30; ++i) {
-    auto leaving = rig.client();
-    leaving.post(Rig::body("lookup", "l" + std::to_string(i), "work_ms=3"));
+    auto leaving = system.client();
+    leaving.post(TestSystem::query_body("lookup", "l" + std::to_string(i), "work_ms=3"));
     std::this_thread::sleep_for(std::chrono::milliseconds(i % 5));
-    leaving.hang_up();
-    steady.post(Rig::body("lookup", "s" + std::to_string(i), "work_ms=2"));
-    ASSERT_EQ(steady.answer().status, 200);
-    EXPECT_EQ(rig.seen("cancel", "s" + std::to_string(i)), 0U);
+    leaving.disconnect();
+    steady.post(TestSystem::query_body("lookup", "s" + std::to_string(i), "work_ms=2"));
+    ASSERT_EQ(steady.read_response().status, 200);
+    EXPECT_EQ(system.event_count("cancel", "s" + std::to_string(i)), 0U);
   }
-  EXPECT_TRUE(rig.becomes("heronwell_requests_open", 0));
+  EXPECT_TRUE(system.wait_for_metric("heronwell_requests_open", 0));
 }
 
-TEST(Engines, ThatHangCostASafeQueryOnlyTime) {
-  Rig rig({.engines = 2, .progress = 100ms});
-  rig.fault(0, "swallow 1");
-  auto client = rig.client();
+TEST(Engines, AHangingEngineOnlyDelaysASafeQuery) {
+  TestSystem system({.engines = 2, .progress_interval = 100ms});
+  system.inject_fault(0, "swallow 1");
+  auto client = system.client();
   for (int i = 0; i < 6; ++i) {
-    client.post(Rig::body("lookup", "h" + std::to_string(i), "work_ms=5"));
-    EXPECT_EQ(client.answer().status, 200) << i;
+    client.post(TestSystem::query_body("lookup", "h" + std::to_string(i), "work_ms=5"));
+    EXPECT_EQ(client.read_response().status, 200) << i;
   }
 }
 
-TEST(Engines, OneConnectionLimitIsNotAQueue) {
-  Rig rig({.engines = 1, .settings = "allow: {max_open: 100}\n", .threads = 2});
+TEST(Engines, ExcessQueriesAreServedOrRefusedWithRetryAfter) {
+  TestSystem system({.engines = 1, .settings = "allow: {max_open: 100}\n", .threads = 2});
   std::vector<Client> clients;
   for (int i = 0; i < 30; ++i) {
-    clients.push_back(rig.client());
-    clients.back().post(Rig::body("lookup", "q" + std::to_string(i), "work_ms=30"));
+    clients.push_back(system.client());
+    clients.back().post(TestSystem::query_body("lookup", "q" + std::to_string(i), "work_ms=30"));
   }
   for (auto& client : clients) {
-    const auto answer = client.answer();
-    EXPECT_TRUE(answer.status == 200 || answer.status == 503) << answer.body;
-    EXPECT_EQ(answer.retry_after.has_value(), answer.status == 503);
+    const auto response = client.read_response();
+    EXPECT_TRUE(response.status == 200 || response.status == 503) << response.body;
+    EXPECT_EQ(response.retry_after.has_value(), response.status == 503);
   }
 }
 
-TEST(Routers, ThatStopAnswerWhatTheyTook) {
-  Rig rig({.engines = 1});
-  auto client = rig.client();
-  client.post(Rig::body("lookup", "a", "work_ms=100"));
-  ASSERT_TRUE(rig.comes("began", "a"));
-  std::thread stopping([&] { rig.stop_router(); });
-  EXPECT_EQ(client.answer().status, 200);
+TEST(Routers, AStoppingRouterAnswersItsRunningRequests) {
+  TestSystem system({.engines = 1});
+  auto client = system.client();
+  client.post(TestSystem::query_body("lookup", "a", "work_ms=100"));
+  ASSERT_TRUE(system.wait_for_event("began", "a"));
+  std::thread stopping([&] { system.stop_router(); });
+  EXPECT_EQ(client.read_response().status, 200);
   stopping.join();
 }
 
--- a/tests/e2e/platform_test.cpp
+++ b/tests/e2e/platform_test.cpp
@@ -1,5 +1,6 @@
-// `heronwell node` as a process of its own, from outside: its event bus breaks off, falls silent and moves,
-// its configuration is replaced, it is told to end. Seen on the sockets of a stand-in bus and of a client.
+// Tests of `heronwell node` as a separate process: its event bus fails, stops responding or moves to another
+// address, its configuration is replaced, and it receives SIGTERM. The tests observe the sockets of a
+// stand-in event bus, of stand-in engines and of clients.
 #include <gtest/gtest.h>
 
 #include <atomic>
@@ -10,12 +11,13 @@
 
 #include "base/bytes.hpp"
 #include "rehearsal/process.hpp"
-#include "rig.hpp"
+#include "test_system.hpp"
 
 namespace heronwell::e2e {
 namespace {
 
-int listening(std::uint16_t& port) {
+// Returns a listening socket on a free loopback port and sets `port`.
+int listen_on_free_port(std::uint16_t& port) {
   const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in at{};
   at.sin_family = AF_INET;
@@ -28,102 +30,108 @@
   return socket;
 }
 
-// An event bus that does one thing a connection, in turn; the last one again and again.
-class Bus {
+// A stand-in event bus. It answers one request per connection with the next of the given replies, and repeats
+// the last one.
+class StandInBus {
  public:
-  struct Act {
-    std::string body;      // of its answer; empty: none comes
-    std::size_t most = 0;  // bytes of the body that are sent; 0: all
+  struct Reply {
+    std::string body;            // body of the response; empty: no response
+    std::size_t sent_bytes = 0;  // number of bytes of the body to send; 0: all
   };
-  explicit Bus(std::deque<Act> acts) : acts_(std::move(acts)), socket_(listening(port_)) {
+  explicit StandInBus(std::deque<Reply> replies)
+      : replies_(std::move(replies)), socket_(listen_on_free_port(port_)) {
     thread_ = std::thread([this] { serve(); });
   }
-  Bus(const Bus&) = delete;
-  Bus& operator=(const Bus&) = delete;
-  ~Bus() {
-    over_ = true;
+  StandInBus(const StandInBus&) = delete;
+  StandInBus& operator=(const StandInBus&) = delete;
+  ~StandInBus() {
+    stopping_ = true;
     thread_.join();
-    for (const int one : open_) ::close(one);
+    for (const int socket : open_) ::close(socket);
     ::close(socket_);
   }
   [[nodiscard]] std::uint16_t port() const { return port_; }
-  // What was asked for, a line each.
-  std::vector<std::string> asked() {
+  // Returns the request lines received so far, without the HTTP version.
+  std::vector<std::string> requests() {
     std::lock_guard lock(mutex_);
-    return asked_;
+    return requests_;
   }
-  bool asked_again(std::size_t times) {
-    const auto until = std::chrono::steady_clock::now() + 5s;
-    while (asked().size() < times && std::chrono::steady_clock::now() < until)
+  // Waits up to 5 s until at least `times` requests have been received.
+  bool wait_for_requests(std::size_t times) {
+    const auto deadline = std::chrono::steady_clock::now() + 5s;
+    while (requests().size() < times && std::chrono::steady_clock::now() < deadline)
       std::this_thread::sleep_for(5ms);
-    return asked().size() >= times;
+    return requests().size() >= times;
   }
 
  private:
   void serve() {
-    while (!over_) {
-      pollfd one{socket_, POLLIN, 0};
-      if (::poll(&one, 1, 20) <= 0) continue;
+    while (!stopping_) {
+      pollfd poll_entry{socket_, POLLIN, 0};
+      if (::poll(&poll_entry, 1, 20) <= 0) continue;
       const int client = ::accept(socket_, nullptr, nullptr);
       open_.push_back(client);
       std::string request(2048, '\0');
-      const auto got = ::recv(client, request.data(), request.size(), 0);
-      request.resize(got > 0 ? static_cast<std::size_t>(got) : 0);
+      const auto received = ::recv(client, request.data(), request.size(), 0);
+      request.resize(received > 0 ? static_cast<std::size_t>(received) : 0);
       {
         std::lock_guard lock(mutex_);
-        asked_.push_back(request.substr(0, request.find(" HTTP")));
+        requests_.push_back(request.substr(0, request.find(" HTTP")));
       }
-      const auto act = acts_.front();
-      if (acts_.size() > 1) acts_.pop_front();
-      if (act.body.empty()) continue;
-      const auto answer = fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", act.body.size(),
-                                      act.most > 0 ? act.body.substr(0, act.most) : act.body);
-      EXPECT_EQ(::send(client, answer.data(), answer.size(), MSG_NOSIGNAL),
-                static_cast<ssize_t>(answer.size()));
+      const auto reply = replies_.front();
+      if (replies_.size() > 1) replies_.pop_front();
+      if (reply.body.empty()) continue;
+      const auto response =
+          fmt::format("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{}", reply.body.size(),
+                      reply.sent_bytes > 0 ? reply.body.substr(0, reply.sent_bytes) : reply.body);
+      EXPECT_EQ(::send(client, response.data(), response.size(), MSG_NOSIGNAL),
+                static_cast<ssize_t>(response.size()));
     }
   }
 
-  std::deque<Act> acts_;
+  std::deque<Reply> replies_;
   std::uint16_t port_ = 0;
   int socket_;
   std::vector<int> open_;
   std::mutex mutex_;
-  std::vector<std::string> asked_;
-  std::atomic<bool> over_ = false;
+  std::vector<std::string> requests_;
+  std::atomic<bool> stopping_ = false;
   std::thread thread_;
 };
 
-// An engine that takes each query and answers it with a result of eight full pages, or never.
-class Engine {
+// A stand-in engine that accepts each query and returns a result of eight full pages, or never answers
+// queries.
+class StandInEngine {
  public:
-  explicit Engine(bool answers) : answers_(answers), socket_(listening(port_)) {
+  explicit StandInEngine(bool answers) : answers_(answers), socket_(listen_on_free_port(port_)) {
     thread_ = std::thread([this] { serve(); });
   }
-  Engine(const Engine&) = delete;
-  Engine& operator=(const Engine&) = delete;
-  ~Engine() {
-    over_ = true;
+  StandInEngine(const StandInEngine&) = delete;
+  StandInEngine& operator=(const StandInEngine&) = delete;
+  ~StandInEngine() {
+    stopping_ = true;
     thread_.join();
-    for (const auto& one : open_) ::close(one.socket);
+    for (const auto& connection : open_) ::close(connection.socket);
     ::close(socket_);
   }
   [[nodiscard]] std::uint16_t port() const { return port_; }
-  [[nodiscard]] bool seen(const std::string& what, int times) const {
-    const auto until = std::chrono::steady_clock::now() + 5s;
-    while (std::chrono::steady_clock::now() < until) {
+  // Waits up to 5 s until at least `times` received calls start with `prefix`.
+  [[nodiscard]] bool wait_for_calls(const std::string& prefix, int times) const {
+    const auto deadline = std::chrono::steady_clock::now() + 5s;
+    while (std::chrono::steady_clock::now() < deadline) {
       {
         std::lock_guard lock(mutex_);
-        if (std::ranges::count_if(calls_, [&](auto& call) { return call.starts_with(what); }) >= times)
+        if (std::ranges::count_if(calls_, [&](auto& call) { return call.starts_with(prefix); }) >= times)
           return true;
       }
       std::this_thread::sleep_for(5ms);
     }
     return false;
   }
-  [[nodiscard]] int calls(const std::string& what) const {
+  [[nodiscard]] int call_count(const std::string& prefix) const {
     std::lock_guard lock(mutex_);
     return static_cast<int>(
-        std::ranges::count_if(calls_, [&](auto& call) { return call.starts_with(what); }));
+        std::ranges::count_if(calls_, [&](auto& call) { return call.starts_with(prefix); }));
   }
   static constexpr int kPages = 8;
   static std::string page() {
@@ -138,40 +146,42 @@
     std::string in;
   };
   void serve() {
-    while (!over_) {
+    while (!stopping_) {
       std::vector<pollfd> all{{socket_, POLLIN, 0}};
-      for (const auto& one : open_) all.push_back({one.socket, POLLIN, 0});
+      for (const auto& connection : open_) all.push_back({connection.socket, POLLIN, 0});
       if (::poll(all.data(), all.size(), 20) <= 0) continue;
       for (std::size_t i = all.size() - 1; i > 0; --i)
-        if (all[i].revents != 0 && !hear(open_[i - 1])) {
+        if (all[i].revents != 0 && !handle_input(open_[i - 1])) {
           ::close(open_[i - 1].socket);
           open_.erase(open_.begin() + static_cast<std::ptrdiff_t>(i - 1));
         }
       if (all[0].revents != 0) open_.push_back({::accept(socket_, nullptr, nullptr), {}});
     }
   }
-  bool hear(Connection& one) {
+  // Reads from the connection and answers a complete call. Returns false if the connection is to be closed.
+  bool handle_input(Connection& connection) {
     std::string bytes(4096, '\0');
-    const auto got = ::recv(one.socket, bytes.data(), bytes.size(), 0);
-    if (got <= 0) return false;
-    one.in.append(bytes, 0, static_cast<std::size_t>(got));
-    const auto end = one.in.find("\r\n\r\n");
+    const auto received = ::recv(connection.socket, bytes.data(), bytes.size(), 0);
+    if (received <= 0) return false;
+    connection.in.append(bytes, 0, static_cast<std::size_t>(received));
+    const auto end = connection.in.find("\r\n\r\n");
     if (end == std::string::npos) return true;
-    const auto call = one.in.substr(0, one.in.find(" HTTP"));
-    one.in.clear();
+    const auto call = connection.in.substr(0, connection.in.find(" HTTP"));
+    connection.in.clear();
     {
       std::lock_guard lock(mutex_);
       calls_.push_back(call);
     }
-    if (call.starts_with("DELETE")) return reply(one, "204 No Content", "");
+    if (call.starts_with("DELETE")) return send_response(connection, "204 No Content", "");
     if (!answers_) return true;
-    if (call.starts_with("POST")) return reply(one, fmt::format("200 OK\r\nX-Parts: {}", kPages), page());
-    return reply(one, "200 OK\r\nX-Part-No: " + call.substr(call.rfind('/') + 1), page());
+    if (call.starts_with("POST"))
+      return send_response(connection, fmt::format("200 OK\r\nX-Parts: {}", kPages), page());
+    return send_response(connection, "200 OK\r\nX-Part-No: " + call.substr(call.rfind('/') + 1), page());
   }
-  static bool reply(const Connection& one, const std::string& head, const std::string& body) {
-    const auto answer = fmt::format("HTTP/1.1 {}\r\nContent-Length: {}\r\n\r\n{}", head, body.size(), body);
-    return ::send(one.socket, answer.data(), answer.size(), MSG_NOSIGNAL) ==
-           static_cast<ssize_t>(answer.size());
+  static bool send_response(const Connection& connection, const std::string& head, const std::string& body) {
+    const auto response = fmt::format("HTTP/1.1 {}\r\nContent-Length: {}\r\n\r\n{}", head, body.size(), body);
+    return ::send(connection.socket, response.data(), response.size(), MSG_NOSIGNAL) ==
+           static_cast<ssize_t>(response.size());
   }
 
   bool answers_;
@@ -180,10 +190,12 @@
   std::vector<Connection> open_;
   mutable std::mutex mutex_;
   std::vector<std::string> calls_;
-  std::atomic<bool> over_ = false;
+  std::atomic<bool> stopping_ = false;
   std::thread thread_;
 };
 
+// Returns the JSON of a bus response with one topology event, numbered `last`. `whole`: the event replaces
+// the complete list of hosts.
 std::string events(int last, const std::string& hosts, bool whole) {
   return fmt::format(
       R"({{"offset":{},"batch":[{{"offset":{},"topology":{{"seq":{},"whole":{},"hosts":[{}]}}}}]}})", last,
@@ -201,19 +213,19 @@
   Node() {
     folder_ = std::filesystem::temp_directory_path() / fmt::format("heronwell-node-{}", ::getpid());
     std::filesystem::create_directories(folder_);
-    ::close(listening(port_));
+    ::close(listen_on_free_port(port_));
   }
   Node(const Node&) = delete;
   Node& operator=(const Node&) = delete;
   ~Node() override { std::filesystem::remove_all(folder_); }
 
-  std::string config(std::uint16_t bus, const std::string& known = "", bool may_call_off = true) const {
+  std::string config(std::uint16_t bus, const std::string& endpoints = "", bool may_cancel = true) const {
     return fmt::format(
         R"({{"name":"n0","listen":"127.0.0.1:{}","seed":"1f","limits":{{"sockets":64,"memory_mb":32}},"bus":"127.0.0.1:{}",
 "known":{},"settings":{{"balancers":1,"classes":[{{"name":"lookup","aim":200000000,"give-up":1000000000,"semantics":"safe"}}],
 "kinds":["std"],"zones":["east"],"tenants":[{{"name":"acme","portion":1}}],"ceilings":{{"max-attempts":3,"most-held":100,"cancel":{}}},
 "safety":{{}},"family-info":{{"cpu-of-kind":[64]}}}}}})",
-        port_, bus, events(1, known, true), may_call_off);
+        port_, bus, events(1, endpoints, true), may_cancel);
   }
   void write(const std::string& text) const { std::ofstream(folder_ / "config.json") << text; }
   void start(std::uint16_t bus, const std::string& limits = "") { start_with(config(bus), limits); }
@@ -224,20 +236,20 @@
          "ROUTER_CONFIG=" + (folder_ / "config.json").string(), "/bin/sh", "-c",
          limits + "exec " HERONWELL_PROGRAM " node"},
         (folder_ / "log").string());
-    const auto until = std::chrono::steady_clock::now() + 10s;
-    while (!reachable() && std::chrono::steady_clock::now() < until) std::this_thread::sleep_for(10ms);
+    const auto deadline = std::chrono::steady_clock::now() + 10s;
+    while (!can_connect() && std::chrono::steady_clock::now() < deadline) std::this_thread::sleep_for(10ms);
   }
-  bool reachable() const {
+  bool can_connect() const {
     const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in to{};
-    to.sin_family = AF_INET;
-    to.sin_port = htons(port_);
-    to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    const bool done = ::connect(socket, reinterpret_cast<sockaddr*>(&to), sizeof to) == 0;
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_port = htons(port_);
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    const bool done = ::connect(socket, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0;
     ::close(socket);
     return done;
   }
-  static std::string framed(unsigned type, std::uint32_t stream, const std::string& payload) {
+  static std::string frame_of(unsigned type, std::uint32_t stream, const std::string& payload) {
     std::string out;
     put_u32(out, static_cast<std::uint32_t>(5 + payload.size()));
     put_u8(out, type);
@@ -254,11 +266,11 @@
       put_u16(payload, static_cast<unsigned>(value.size()));
       payload += value;
     }
-    return framed(2, stream, payload + "select 1");
+    return frame_of(2, stream, payload + "select 1");
   }
-  // Stream and code of each answer in what a client has read, other frames left out; what has yet to come
-  // whole stays.
-  static std::map<std::uint32_t, int> answers(std::string& read) {
+  // Returns stream and code of each answer in the bytes that a client has read; frames of other types are
+  // skipped.
+  static std::map<std::uint32_t, int> parse_answers(std::string& read) {
     std::map<std::uint32_t, int> out;
     std::size_t used = 0;
     ByteReader in(read);
@@ -269,30 +281,32 @@
       const auto payload = in.take(length - 5);
       if (!in.ok()) break;
       if (type != 4) continue;
-      EXPECT_TRUE(out.emplace(stream, payload[0]).second) << "a second answer";
+      EXPECT_TRUE(out.emplace(stream, payload[0]).second) << "received a second answer to one request";
     }
     read.erase(0, used);
     return out;
   }
-  // The first answer that comes.
-  static std::map<std::uint32_t, int> answer(Client& client) {
-    std::map<std::uint32_t, int> got;
+  // Waits for the first answer. Empty if none arrives within 2 s after the last received bytes.
+  static std::map<std::uint32_t, int> first_answer(Client& client) {
+    std::map<std::uint32_t, int> received;
     std::string read;
-    for (std::string some; got.empty() && !(some = client.some(2s)).empty(); got = answers(read))
-      read += some;
-    return got;
+    for (std::string chunk; received.empty() && !(chunk = client.receive(2s)).empty();
+         received = parse_answers(read))
+      read += chunk;
+    return received;
   }
-  // The code of the answer to "is the router ready?"; -1: none came.
-  int ready() const {
+  // Returns the code in the response to a readiness request (0: ready), or -1 if there is none.
+  int ready_code() const {
     Client client(port_);
-    client.send(framed(16, 1, std::string(1, '\0')));
-    const auto answer = client.some(2s);
-    return answer.size() == 11 && answer[4] == 32 ? answer[9] : -1;
+    client.send(frame_of(16, 1, std::string(1, '\0')));
+    const auto response = client.receive(2s);
+    return response.size() == 11 && response[4] == 32 ? response[9] : -1;
   }
-  bool becomes_ready() const {
-    const auto until = std::chrono::steady_clock::now() + 5s;
-    while (ready() != 0 && std::chrono::steady_clock::now() < until) std::this_thread::sleep_for(20ms);
-    return ready() == 0;
+  bool wait_until_ready() const {
+    const auto deadline = std::chrono::steady_clock::now() + 5s;
+    while (ready_code() != 0 && std::chrono::steady_clock::now() < deadline)
+      std::this_thread::sleep_for(20ms);
+    return ready_code() == 0;
   }
 
   std::filesystem::path folder_;
@@ -300,82 +314,85 @@
   rehearsal::Process process_;
 };
 
-TEST_F(Node, ABusThatBreaksOffOrFallsSilentIsAskedAgainFromTheLastEventInForce) {
-  const auto told = events(2, kEngine, false);
-  Bus bus({{told, told.size() / 2}, {}, {"what"}, {told}, {R"({"offset":2,"batch":[]})"}});
+TEST_F(Node, AFailingOrSilentBusIsReadAgainFromTheLastAppliedEvent) {
+  const auto event_json = events(2, kEngine, false);
+  StandInBus bus(
+      {{event_json, event_json.size() / 2}, {}, {"what"}, {event_json}, {R"({"offset":2,"batch":[]})"}});
   start(bus.port());
-  EXPECT_EQ(ready(), 1) << "no engine is listed";
+  EXPECT_EQ(ready_code(), 1) << "expected not ready, because no engine is listed";
   const auto began = std::chrono::steady_clock::now();
-  ASSERT_TRUE(becomes_ready());
-  EXPECT_LT(std::chrono::steady_clock::now() - began, 4500ms) << "two waits of 1.7 s and little more";
-  const auto asked = bus.asked();
-  ASSERT_GE(asked.size(), 4U);
+  ASSERT_TRUE(wait_until_ready());
+  EXPECT_LT(std::chrono::steady_clock::now() - began, 4500ms)
+      << "expected little more than two timeouts of 1.7 s";
+  const auto requests = bus.requests();
+  ASSERT_GE(requests.size(), 4U);
   for (std::size_t i = 0; i < 4; ++i)
-    EXPECT_TRUE(asked[i].starts_with("GET /bus/read?from=1&hold=")) << asked[i];
-  ASSERT_TRUE(bus.asked_again(5));
-  EXPECT_TRUE(bus.asked()[4].starts_with("GET /bus/read?from=2&"));
+    EXPECT_TRUE(requests[i].starts_with("GET /bus/read?from=1&hold=")) << requests[i];
+  ASSERT_TRUE(bus.wait_for_requests(5));
+  EXPECT_TRUE(bus.requests()[4].starts_with("GET /bus/read?from=2&"));
 }
 
-TEST_F(Node, AListOfTheStartThatCannotBeReadIsAskedForWhole) {
-  Bus bus({{events(2, kEngine, true)}, {}});
+TEST_F(Node, AnInvalidInitialListIsReadAgainFromTheBeginning) {
+  StandInBus bus({{events(2, kEngine, true)}, {}});
   start_with(config(bus.port(), "{}"));  // a host without a name
-  EXPECT_TRUE(becomes_ready());
-  ASSERT_TRUE(bus.asked_again(2));
-  EXPECT_TRUE(bus.asked()[0].starts_with("GET /bus/read?from=0&")) << bus.asked()[0];
-  EXPECT_TRUE(bus.asked()[1].starts_with("GET /bus/read?from=2&")) << bus.asked()[1];
+  EXPECT_TRUE(wait_until_ready());
+  ASSERT_TRUE(bus.wait_for_requests(2));
+  EXPECT_TRUE(bus.requests()[0].starts_with("GET /bus/read?from=0&")) << bus.requests()[0];
+  EXPECT_TRUE(bus.requests()[1].starts_with("GET /bus/read?from=2&")) << bus.requests()[1];
 }
 
-TEST_F(Node, FollowsItsBusToANewAddressAndOutlivesAConfigurationHalfWritten) {
-  Bus old(std::deque<Bus::Act>(1)), next({{events(2, kEngine, false)}, {}});
+TEST_F(Node, SwitchesToANewBusAddressAndIgnoresATruncatedConfiguration) {
+  StandInBus old(std::deque<StandInBus::Reply>(1)), next({{events(2, kEngine, false)}, {}});
   start(old.port());
-  ASSERT_TRUE(old.asked_again(1));
+  ASSERT_TRUE(old.wait_for_requests(1));
   write(config(next.port()).substr(0, 200));
   process_.signal(SIGHUP);
   std::this_thread::sleep_for(200ms);
-  EXPECT_EQ(ready(), 1) << "it goes on, with the old one";
-  EXPECT_TRUE(next.asked().empty());
+  EXPECT_EQ(ready_code(), 1) << "expected the router to keep running with the old configuration";
+  EXPECT_TRUE(next.requests().empty());
   write(config(next.port()));
   process_.signal(SIGHUP);
-  ASSERT_TRUE(next.asked_again(1));
-  EXPECT_TRUE(next.asked()[0].starts_with("GET /bus/read?from=1&")) << "the numbers carry on";
-  EXPECT_TRUE(becomes_ready());
-  const auto before = old.asked().size();
+  ASSERT_TRUE(next.wait_for_requests(1));
+  EXPECT_TRUE(next.requests()[0].starts_with("GET /bus/read?from=1&"))
+      << "expected the event offsets to continue on the new bus";
+  EXPECT_TRUE(wait_until_ready());
+  const auto before = old.requests().size();
   std::this_thread::sleep_for(2s);
-  EXPECT_EQ(old.asked().size(), before);
+  EXPECT_EQ(old.requests().size(), before);
 }
 
-TEST_F(Node, ToldToEndItSaysSoAnswersWhatStillComesAndEndsWith0) {
-  Bus bus({{events(2, kEngine, false)}, {}});
+TEST_F(Node, OnSigtermItReportsNotReadyAnswersNewRequestsAndExitsWith0) {
+  StandInBus bus({{events(2, kEngine, false)}, {}});
   start(bus.port());
-  ASSERT_TRUE(becomes_ready());
+  ASSERT_TRUE(wait_until_ready());
   process_.signal(SIGTERM);
   std::this_thread::sleep_for(400ms);
-  EXPECT_EQ(ready(), 1) << "new connections are still taken";
+  EXPECT_EQ(ready_code(), 1) << "expected the router to accept new connections";
   Client client(port_);
   client.send(request(1, "9b1f03aa5c7e2d41", "900"));
-  const auto answer = client.some(2s);  // its engine can't be reached
-  ASSERT_GE(answer.size(), 10U);
-  EXPECT_EQ(answer[4], 4);
-  EXPECT_EQ(answer[9], 1) << "refused: nothing ran";
+  const auto response = client.receive(2s);  // the engine is unreachable
+  ASSERT_GE(response.size(), 10U);
+  EXPECT_EQ(response[4], 4);
+  EXPECT_EQ(response[9], 1) << "expected a refusal, because nothing ran";
   ASSERT_TRUE(process_.wait(Time(3s)));
   EXPECT_EQ(process_.wait(), 0);
 }
 
-TEST_F(Node, AnswersWrittenBeforeItsEndAreReadWholeByAClientThatReadsLate) {
-  Engine engine(true);
-  Bus bus({{events(2, engine_at(engine.port()), false)}, {}});
+TEST_F(Node, AnswersWrittenBeforeExitReachASlowClientCompletely) {
+  StandInEngine engine(true);
+  StandInBus bus({{events(2, engine_at(engine.port()), false)}, {}});
   start(bus.port());
-  ASSERT_TRUE(becomes_ready());
-  constexpr int kAsked = 8;
+  ASSERT_TRUE(wait_until_ready());
+  constexpr int kRequests = 8;
   Client slow(port_, 4096);
-  for (int n = 1; n <= kAsked; ++n)
+  for (int n = 1; n <= kRequests; ++n)
     slow.send(request(static_cast<std::uint32_t>(n), fmt::format("9b1f03aa5c7e2d{:02}", n), "900"));
-  ASSERT_TRUE(engine.seen("GET /x/9b1f03aa5c7e2d08/7", 1));
+  ASSERT_TRUE(engine.wait_for_calls("GET /x/9b1f03aa5c7e2d08/7", 1));
   process_.signal(SIGTERM);
   ASSERT_TRUE(process_.wait(Time(3s)));
   EXPECT_EQ(process_.wait(), 0);
   std::string all;
-  for (std::string some; !(some = slow.some(1s)).empty();) all += some;
+  for (std::string chunk; !(chunk = slow.receive(1s)).empty();) all += chunk;
   std::size_t whole = 0;
   ByteReader in(all);
   unsigned type = 0;
@@ -384,78 +401,81 @@
     type = in.u8();
     in.u32();
     const auto payload = in.take(length - 5);
-    ASSERT_TRUE(in.ok()) << "cut short";
-    whole += type == 4 && payload.size() == 2 + Engine::kPages * Engine::page().size() ? 1 : 0;
+    ASSERT_TRUE(in.ok()) << "a frame is truncated";
+    whole += type == 4 && payload.size() == 2 + StandInEngine::kPages * StandInEngine::page().size() ? 1 : 0;
   }
-  EXPECT_EQ(whole, static_cast<std::size_t>(kAsked));
-  EXPECT_EQ(type, 64U) << "no new request";
+  EXPECT_EQ(whole, static_cast<std::size_t>(kRequests));
+  EXPECT_EQ(type, 64U) << "expected the last frame to say that no new requests are accepted";
 }
 
-TEST_F(Node, ToldToEndWhileItsEngineHangsItAnswersBeforeItMayBeKilled) {
-  Engine engine(false);
-  Bus bus({{events(2, engine_at(engine.port()), false)}, {}});
+TEST_F(Node, OnSigtermWithAHangingEngineItAnswersBeforeItMayBeKilled) {
+  StandInEngine engine(false);
+  StandInBus bus({{events(2, engine_at(engine.port()), false)}, {}});
   start(bus.port());
-  ASSERT_TRUE(becomes_ready());
+  ASSERT_TRUE(wait_until_ready());
   Client client(port_);
   client.send(request(1, "9b1f03aa5c7e2d41", "20000"));
-  ASSERT_TRUE(engine.seen("POST", 1));
+  ASSERT_TRUE(engine.wait_for_calls("POST", 1));
   process_.signal(SIGTERM);
   const auto began = std::chrono::steady_clock::now();
-  const auto answer = client.some(5s);
-  // Its longest deadline is 1 s: it may be killed 1.7 s after.
+  const auto response = client.receive(5s);
+  // The longest request deadline is 1 s; the platform may kill the process 1.7 s after SIGTERM.
   EXPECT_LT(std::chrono::steady_clock::now() - began, 1700ms);
-  ASSERT_GE(answer.size(), 10U);
-  EXPECT_EQ(answer[4], 4);
-  EXPECT_EQ(answer[9], 1) << "safe to repeat: refused";
-  EXPECT_TRUE(engine.seen("DELETE", 1));
-  client.hang_up();
+  ASSERT_GE(response.size(), 10U);
+  EXPECT_EQ(response[4], 4);
+  EXPECT_EQ(response[9], 1) << "expected a refusal, because the query is safe to retry";
+  EXPECT_TRUE(engine.wait_for_calls("DELETE", 1));
+  client.disconnect();
   ASSERT_TRUE(process_.wait(Time(1s)));
   EXPECT_EQ(process_.wait(), 0);
 }
 
-TEST_F(Node, WhereNothingMayBeCalledOffAnEngineIsToldOfNoEndEither) {
-  Engine engine(false);
-  Bus bus({{events(2, engine_at(engine.port()), false)}, {}});
+TEST_F(Node, OnSigtermItCancelsNoQueryIfCancellationIsOff) {
+  StandInEngine engine(false);
+  StandInBus bus({{events(2, engine_at(engine.port()), false)}, {}});
   start_with(config(bus.port(), "", false));
-  ASSERT_TRUE(becomes_ready());
+  ASSERT_TRUE(wait_until_ready());
   Client client(port_);
   client.send(request(1, "9b1f03aa5c7e2d41", "20000"));
-  ASSERT_TRUE(engine.seen("POST", 1));
+  ASSERT_TRUE(engine.wait_for_calls("POST", 1));
   process_.signal(SIGTERM);
-  auto read = client.some(5s);
-  EXPECT_EQ(answers(read), (std::map<std::uint32_t, int>{{1, 1}})) << "answered all the same";
-  client.hang_up();
+  auto read = client.receive(5s);
+  EXPECT_EQ(parse_answers(read), (std::map<std::uint32_t, int>{{1, 1}}))
+      << "expected an answer despite the running query";
+  client.disconnect();
   ASSERT_TRUE(process_.wait(Time(1s)));
-  EXPECT_EQ(engine.calls("DELETE"), 0);
+  EXPECT_EQ(engine.call_count("DELETE"), 0);
 }
 
-// Requests at each step of the end, some on connections of their own: what a client has no answer to was sent
-// to no engine, so that it may be sent again.
-TEST_F(Node, ToldToEndWithRequestsAtEachStepItSendsOnNoneThatItDoesNotAnswer) {
-  Engine engine(true);
-  Bus bus({{events(2, engine_at(engine.port()), false)}, {}});
+// Clients send requests during the whole shutdown. A request without an answer must not have reached an
+// engine, so that its client may safely send it again.
+TEST_F(Node, RequestsDuringShutdownAreAnsweredOrNotForwarded) {
+  StandInEngine engine(true);
+  StandInBus bus({{events(2, engine_at(engine.port()), false)}, {}});
   start(bus.port());
-  ASSERT_TRUE(becomes_ready());
-  constexpr std::size_t kClients = 4, kMostOpen = 8;
-  struct Asker {
+  ASSERT_TRUE(wait_until_ready());
+  constexpr std::size_t kClients = 4, kMaxInFlight = 8;
+  struct Requester {
     Client client;
-    std::uint32_t asked = 0;
+    std::uint32_t sent = 0;
     std::string read;
-    std::map<std::uint32_t, int> got;
+    std::map<std::uint32_t, int> received;
+  };
+  std::vector<Requester> requesters;
+  for (std::size_t i = 0; i < kClients; ++i) requesters.push_back({Client(port_), 0, {}, {}});
+  const auto request_id = [](std::size_t requester, std::uint32_t n) {
+    return fmt::format("{:08x}{:08x}", requester, n);
   };
-  std::vector<Asker> askers;
-  for (std::size_t i = 0; i < kClients; ++i) askers.push_back({Client(port_), 0, {}, {}});
-  const auto id_of = [](std::size_t asker, std::uint32_t n) { return fmt::format("{:08x}{:08x}", asker, n); };
   process_.signal(SIGTERM);
-  const auto until = std::chrono::steady_clock::now() + 3s;
-  while (std::chrono::steady_clock::now() < until && !process_.wait(Time(0))) {
+  const auto deadline = std::chrono::steady_clock::now() + 3s;
+  while (std::chrono::steady_clock::now() < deadline && !process_.wait(Time(0))) {
     for (std::size_t i = 0; i < kClients; ++i) {
-      auto& [client, asked, read, got] = askers[i];
-      while (client.readable(0ms) && !client.closed()) read += client.some(0ms);
-      got.merge(answers(read));
-      if (client.closed() || asked >= got.size() + kMostOpen) continue;
-      ++asked;
-      client.send(request(asked, id_of(i, asked), "900"));
+      auto& [client, sent, read, received] = requesters[i];
+      while (client.readable(0ms) && !client.closed()) read += client.receive(0ms);
+      received.merge(parse_answers(read));
+      if (client.closed() || sent >= received.size() + kMaxInFlight) continue;
+      ++sent;
+      client.send(request(sent, request_id(i, sent), "900"));
     }
     std::this_thread::sleep_for(500us);
   }
@@ -463,100 +483,104 @@
   EXPECT_EQ(process_.wait(), 0);
   std::size_t served = 0;
   for (std::size_t i = 0; i < kClients; ++i) {
-    auto& [client, asked, read, got] = askers[i];
-    for (std::string some; !(some = client.some(200ms)).empty();) read += some;
-    got.merge(answers(read));
-    for (std::uint32_t n = 1; n <= asked; ++n)
-      EXPECT_TRUE(got.contains(n) || engine.calls("GET /x/" + id_of(i, n)) == 0)
-          << i << " " << n << " of " << asked;
-    served += got.size();
+    auto& [client, sent, read, received] = requesters[i];
+    for (std::string chunk; !(chunk = client.receive(200ms)).empty();) read += chunk;
+    received.merge(parse_answers(read));
+    for (std::uint32_t n = 1; n <= sent; ++n)
+      EXPECT_TRUE(received.contains(n) || engine.call_count("GET /x/" + request_id(i, n)) == 0)
+          << i << " " << n << " of " << sent;
+    served += received.size();
   }
   EXPECT_GT(served, 200U);
 }
 
-// Engines' connections and clients' all full, for as long as the bus is silent and after: what it tells then
-// is heard, and who comes is answered.
-TEST_F(Node, WithItsDescriptorsFullWhileDiscoveryIsDownItHearsOfWhatComesThen) {
-  Engine hangs(false);
-  Bus bus({{events(2, engine_at(hangs.port()), false)}, {}, {}, {events(3, engine_at(1), false)}, {}});
-  auto patient = config(bus.port());
+// Connections to engines and clients use up the file descriptors while the bus does not respond. The router
+// must still receive the bus's next event and answer a new client.
+TEST_F(Node, WithDescriptorsExhaustedItStillReadsTheBusAndAnswers) {
+  StandInEngine hanging(false);
+  StandInBus bus(
+      {{events(2, engine_at(hanging.port()), false)}, {}, {}, {events(3, engine_at(1), false)}, {}});
+  auto config_json = config(bus.port());
   const std::string times = "\"aim\":200000000,\"give-up\":1000000000";
-  patient.replace(patient.find(times), times.size(), "\"aim\":100000000000,\"give-up\":600000000000");
-  start_with(patient, "ulimit -n 64; ");
-  ASSERT_TRUE(becomes_ready());
+  config_json.replace(config_json.find(times), times.size(), "\"aim\":100000000000,\"give-up\":600000000000");
+  start_with(config_json, "ulimit -n 64; ");
+  ASSERT_TRUE(wait_until_ready());
   std::vector<Client> busy;
   for (unsigned i = 0; i < 4; ++i) busy.emplace_back(port_);
   for (unsigned i = 0; i < 4; ++i)
     for (unsigned n = 1; n <= 16; ++n) busy[i].send(request(n, fmt::format("{:08x}{:08x}", i, n), "600000"));
-  ASSERT_TRUE(hangs.seen("POST", 15));
+  ASSERT_TRUE(hanging.wait_for_calls("POST", 15));
   std::vector<Client> idle;
   const auto descriptors = fmt::format("/proc/{}/fd", process_.id());
-  std::ptrdiff_t most = 0;
+  std::ptrdiff_t max_descriptors = 0;
   const auto began = std::chrono::steady_clock::now();
-  while (bus.asked().size() < 5 && std::chrono::steady_clock::now() < began + 6s) {
+  while (bus.requests().size() < 5 && std::chrono::steady_clock::now() < began + 6s) {
     if (idle.size() < 200) idle.emplace_back(port_);
     const std::filesystem::directory_iterator all(descriptors);
-    most = std::max(most, std::distance(begin(all), end(all)));
+    max_descriptors = std::max(max_descriptors, std::distance(begin(all), end(all)));
     std::this_thread::sleep_for(10ms);
   }
-  ASSERT_GE(bus.asked().size(), 5U);
-  EXPECT_TRUE(bus.asked()[4].starts_with("GET /bus/read?from=3&")) << bus.asked()[4];
-  EXPECT_GE(most, 50) << "they were full";
-  EXPECT_LE(most, 62) << "and some are left";
-  EXPECT_EQ(ready(), 0);
+  ASSERT_GE(bus.requests().size(), 5U);
+  EXPECT_TRUE(bus.requests()[4].starts_with("GET /bus/read?from=3&")) << bus.requests()[4];
+  EXPECT_GE(max_descriptors, 50) << "expected the router to use nearly all descriptors";
+  EXPECT_LE(max_descriptors, 62) << "expected the router to keep some descriptors in reserve";
+  EXPECT_EQ(ready_code(), 0);
 }
 
-// At the cap the connection that has been idle longest gives way. Its client's request crosses that: it reads
-// the end in order, and its request was sent to no engine, so that it may be sent again.
-TEST_F(Node, AConnectionThatGivesWayIsReadToItsEndAndWhatCrossesItIsSentOnNowhere) {
-  Engine engine(true);
-  Bus bus({{events(2, engine_at(engine.port()), false)}, {}});
+// At the connection limit the router closes the connection that has been idle longest. If its client sends a
+// request at the same time, it reads an orderly end of the connection, and the request reaches no engine, so
+// that the client may send it again.
+TEST_F(Node, AtTheConnectionLimitTheLongestIdleConnectionEndsInOrder) {
+  StandInEngine engine(true);
+  StandInBus bus({{events(2, engine_at(engine.port()), false)}, {}});
   start(bus.port(), "ulimit -n 64; ");
-  ASSERT_TRUE(becomes_ready());
+  ASSERT_TRUE(wait_until_ready());
   std::vector<Client> idle;
-  for (int i = 0; i < 21; ++i) {  // of 64 descriptors
+  for (int i = 0; i < 21; ++i) {  // as many as the limit of 64 descriptors allows
     idle.emplace_back(port_);
-    idle.back().send(framed(16, 1, std::string(1, '\0')));
+    idle.back().send(frame_of(16, 1, std::string(1, '\0')));
     ASSERT_TRUE(idle.back().readable());
   }
-  Client late(port_);
-  late.send(request(1, "9b1f03aa5c7e2d41", "900"));
-  EXPECT_EQ(answer(late), (std::map<std::uint32_t, int>{{1, 0}}));
-  // Unread until here: the first's answer, then its end. What it sends now finds a router that reads no more
-  // of it.
+  Client new_client(port_);
+  new_client.send(request(1, "9b1f03aa5c7e2d41", "900"));
+  EXPECT_EQ(first_answer(new_client), (std::map<std::uint32_t, int>{{1, 0}}));
+  // The first client has not read yet; its buffer holds the first answer and the end of the connection. The
+  // router no longer reads what this client sends now.
   for (unsigned n = 2; n < 20; ++n) idle.front().send(request(n, fmt::format("{:016x}", n), "900"));
   std::string read;
-  for (std::string some; !(some = idle.front().some(1s)).empty();) read += some;
-  EXPECT_TRUE(read == framed(32, 1, std::string(2, '\0')) + framed(64, 0, ""))
-      << "nothing was lost to a reset; " << read.size() << " bytes";
+  for (std::string chunk; !(chunk = idle.front().receive(1s)).empty();) read += chunk;
+  EXPECT_TRUE(read == frame_of(32, 1, std::string(2, '\0')) + frame_of(64, 0, ""))
+      << "expected all bytes in spite of the close; " << read.size() << " bytes";
   Client again(port_);
   again.send(request(1, fmt::format("{:016x}", 2), "900"));
-  EXPECT_EQ(answer(again), (std::map<std::uint32_t, int>{{1, 0}}));
-  EXPECT_EQ(engine.calls("POST"), 2);
+  EXPECT_EQ(first_answer(again), (std::map<std::uint32_t, int>{{1, 0}}));
+  EXPECT_EQ(engine.call_count("POST"), 2);
 }
 
-// Calls arrive at `engine`, which answers when the test says so.
-class Held {
+// Accepts calls on the listening socket `engine` and answers when the test calls send_response().
+class ManualEngine {
  public:
-  explicit Held(int engine) : engine_(engine) {}
-  Held(const Held&) = delete;
-  Held& operator=(const Held&) = delete;
-  ~Held() {
+  explicit ManualEngine(int engine) : engine_(engine) {}
+  ManualEngine(const ManualEngine&) = delete;
+  ManualEngine& operator=(const ManualEngine&) = delete;
+  ~ManualEngine() {
     for (const auto& [socket, call] : calls_) ::close(socket);
   }
-  // The first bytes of the next call, on a connection of its own; empty: none came in time.
-  std::string next(std::chrono::milliseconds longest) {
-    pollfd one{engine_, POLLIN, 0};
-    if (::poll(&one, 1, static_cast<int>(longest.count())) <= 0) return "";
+  // Accepts the next connection and returns the first bytes of its call. Empty if none arrives within
+  // `timeout`.
+  std::string next_call(std::chrono::milliseconds timeout) {
+    pollfd poll_entry{engine_, POLLIN, 0};
+    if (::poll(&poll_entry, 1, static_cast<int>(timeout.count())) <= 0) return "";
     const int socket = ::accept(engine_, nullptr, nullptr);
     pollfd readable{socket, POLLIN, 0};
     std::string call(4096, '\0');
-    const auto got = ::poll(&readable, 1, 2000) > 0 ? ::recv(socket, call.data(), call.size(), 0) : 0;
-    call.resize(got > 0 ? static_cast<std::size_t>(got) : 0);
+    const auto received = ::poll(&readable, 1, 2000) > 0 ? ::recv(socket, call.data(), call.size(), 0) : 0;
+    call.resize(received > 0 ? static_cast<std::size_t>(received) : 0);
     calls_.emplace_back(socket, call);
     return call;
   }
-  void answer(const std::string& bytes) const {
+  // Answers the latest call.
+  void send_response(const std::string& bytes) const {
     EXPECT_EQ(::send(calls_.back().first, bytes.data(), bytes.size(), MSG_NOSIGNAL),
               static_cast<ssize_t>(bytes.size()));
   }
@@ -566,89 +590,93 @@
   std::vector<std::pair<int, std::string>> calls_;
 };
 
-TEST_F(Node, AnIdSentAgainWhileItIsBeingGivenUpWaitsUntilItsEngineHasHeard) {
+TEST_F(Node, ARequestWithAnIdBeingCancelledWaitsForTheCancelResponse) {
   std::uint16_t port = 0;
-  const int engine = listening(port);
-  Bus bus({{events(2, engine_at(port), false)}, {}});
+  const int engine = listen_on_free_port(port);
+  StandInBus bus({{events(2, engine_at(port), false)}, {}});
   start(bus.port());
-  ASSERT_TRUE(becomes_ready());
-  Held held(engine);
+  ASSERT_TRUE(wait_until_ready());
+  ManualEngine manual_engine(engine);
   const std::string id = "9b1f03aa5c7e2d41";
   {
     Client first(port_);
     first.send(request(1, id, "900"));
-    ASSERT_TRUE(held.next(2s).starts_with("POST /x "));
+    ASSERT_TRUE(manual_engine.next_call(2s).starts_with("POST /x "));
   }
-  ASSERT_TRUE(held.next(2s).starts_with("DELETE /x/" + id)) << "its client has left";
+  ASSERT_TRUE(manual_engine.next_call(2s).starts_with("DELETE /x/" + id))
+      << "expected a cancel call after the client disconnected";
   Client again(port_);
   again.send(request(1, id, "900"));
-  EXPECT_EQ(held.next(200ms), "") << "that call would end the new one, or two would be out";
-  held.answer("HTTP/1.1 204 No Content\r\n\r\n");
-  ASSERT_TRUE(held.next(2s).starts_with("POST /x "));
-  held.answer("HTTP/1.1 200 OK\r\nX-Parts: 1\r\nContent-Length: 6\r\n\r\na\tb\tc\n");
-  EXPECT_EQ(answer(again), (std::map<std::uint32_t, int>{{1, 0}}));
+  EXPECT_EQ(manual_engine.next_call(200ms), "")
+      << "expected no second start before the cancel call is answered: it could be cancelled or run twice";
+  manual_engine.send_response("HTTP/1.1 204 No Content\r\n\r\n");
+  ASSERT_TRUE(manual_engine.next_call(2s).starts_with("POST /x "));
+  manual_engine.send_response("HTTP/1.1 200 OK\r\nX-Parts: 1\r\nContent-Length: 6\r\n\r\na\tb\tc\n");
+  EXPECT_EQ(first_answer(again), (std::map<std::uint32_t, int>{{1, 0}}));
   ::close(engine);
 }
 
-// Connections to an engine whose queue of new ones is full come up late; by then their clients have left, by
-// each way of leaving.
-TEST_F(Node, AConnectionThatComesUpLateStartsNothingForAClientThatHasLeft) {
+// Connections to an engine with a full accept queue are established late. By then the clients have cancelled,
+// closed or reset their connections; their queries must not start.
+TEST_F(Node, ALateEngineConnectionStartsNothingForADisconnectedClient) {
   std::uint16_t port = 0;
-  const int engine = listening(port);
+  const int engine = listen_on_free_port(port);
   ASSERT_EQ(::listen(engine, 0), 0);
-  Bus bus({{events(2, engine_at(port), false)}, {}});
-  auto patient =
-      config(bus.port(), "", false);  // nothing may be called off: no word comes but the client's end
+  StandInBus bus({{events(2, engine_at(port), false)}, {}});
+  auto config_json =
+      config(bus.port(), "", false);  // without cancellation only the client's disconnect ends a request
   const std::string cancel = "\"cancel\":false";
-  patient.replace(patient.find(cancel), cancel.size(), cancel + ",\"dial-timeout\":9000000000");
+  config_json.replace(config_json.find(cancel), cancel.size(), cancel + ",\"dial-timeout\":9000000000");
   const std::string times = "\"aim\":200000000,\"give-up\":1000000000";
-  patient.replace(patient.find(times), times.size(), "\"aim\":8000000000,\"give-up\":20000000000");
-  start_with(patient);
-  ASSERT_TRUE(becomes_ready());
-  std::vector<Client> fill;
-  fill.emplace_back(port);
-  std::vector<Client> leavers;
+  config_json.replace(config_json.find(times), times.size(), "\"aim\":8000000000,\"give-up\":20000000000");
+  start_with(config_json);
+  ASSERT_TRUE(wait_until_ready());
+  std::vector<Client> queue_filler;
+  queue_filler.emplace_back(port);
+  std::vector<Client> leaving;
   for (unsigned n = 0; n < 3; ++n) {
-    leavers.emplace_back(port_);
-    leavers.back().send(request(1, fmt::format("{:016x}", n), "15000"));
+    leaving.emplace_back(port_);
+    leaving.back().send(request(1, fmt::format("{:016x}", n), "15000"));
   }
   std::this_thread::sleep_for(300ms);
-  leavers[0].send(framed(8, 1, ""));
-  leavers[1].hang_up();
-  leavers[2].reset();
+  leaving[0].send(frame_of(8, 1, ""));
+  leaving[1].disconnect();
+  leaving[2].reset();
   std::this_thread::sleep_for(100ms);
-  // The queue moves on: the connections that are late come up, and one client that stays is served.
-  Client stays(port_);
-  stays.send(request(1, fmt::format("{:016x}", 9), "15000"));
+  // The accept queue is emptied now, so the late connections are established. The remaining client is served.
+  Client staying(port_);
+  staying.send(request(1, fmt::format("{:016x}", 9), "15000"));
   std::vector<pollfd> open{{engine, POLLIN, 0}};
-  std::string began, some(4096, '\0');
-  const auto from = std::chrono::steady_clock::now();
-  while ((began.empty() || open.size() < 5) && std::chrono::steady_clock::now() < from + 8s) {
+  std::string began, chunk(4096, '\0');
+  const auto start_time = std::chrono::steady_clock::now();
+  while ((began.empty() || open.size() < 5) && std::chrono::steady_clock::now() < start_time + 8s) {
     if (::poll(open.data(), open.size(), 50) <= 0) continue;
     if (open[0].revents != 0) open.push_back({::accept(engine, nullptr, nullptr), POLLIN, 0});
     for (std::size_t i = 1; i < open.size(); ++i) {
       if (open[i].revents == 0) continue;
-      const auto got = ::recv(open[i].fd, some.data(), some.size(), 0);
-      if (got <= 0) open[i].events = 0, ::close(std::exchange(open[i].fd, -1));
-      if (got > 0) began.append(some, 0, static_cast<std::size_t>(got));
+      const auto received = ::recv(open[i].fd, chunk.data(), chunk.size(), 0);
+      if (received <= 0) open[i].events = 0, ::close(std::exchange(open[i].fd, -1));
+      if (received > 0) began.append(chunk, 0, static_cast<std::size_t>(received));
     }
   }
-  EXPECT_GE(open.size(), 5U) << "beside the one that filled the queue three for those that left";
+  EXPECT_GE(open.size(), 5U)
+      << "expected connections of the queue filler and of the three disconnected clients";
   ASSERT_TRUE(began.starts_with("POST /x ")) << began;
   EXPECT_NE(began.find(fmt::format("{:016x}", 9)), std::string::npos) << began;
   EXPECT_EQ(began.find("POST", 1), std::string::npos) << began;
-  for (const auto& one : open) ::close(one.fd);
+  for (const auto& poll_entry : open) ::close(poll_entry.fd);
 }
 
-// An engine that reads slowly: most of a large start lies in the router's own system when its client leaves.
-TEST_F(Node, AStartThatIsOnItsWayWhenItsClientLeavesNeverArrivesWhole) {
+// The engine reads slowly, so that most of a large query is still in the router's send buffer when the client
+// disconnects. The engine must not receive the complete query.
+TEST_F(Node, AQueryBeingSentWhenItsClientDisconnectsNeverArrivesCompletely) {
   std::uint16_t port = 0;
-  const int engine = listening(port);
+  const int engine = listen_on_free_port(port);
   const int least = 4096;
   ::setsockopt(engine, SOL_SOCKET, SO_RCVBUF, &least, sizeof least);
-  Bus bus({{events(2, engine_at(port), false)}, {}});
+  StandInBus bus({{events(2, engine_at(port), false)}, {}});
   start(bus.port());
-  ASSERT_TRUE(becomes_ready());
+  ASSERT_TRUE(wait_until_ready());
   Client client(port_);
   constexpr std::size_t kLarge = 200'000;
   auto frame = request(1, "9b1f03aa5c7e2d41", "900") + std::string(kLarge, ' ');
@@ -657,91 +685,97 @@
   client.send(length + frame.substr(4));
   const int call = ::accept(engine, nullptr, nullptr);
   pollfd readable{call, POLLIN, 0};
-  ASSERT_EQ(::poll(&readable, 1, 5000), 1) << "it has begun";
-  client.hang_up();
+  ASSERT_EQ(::poll(&readable, 1, 5000), 1) << "expected the router to start sending the query";
+  client.disconnect();
   pollfd next{engine, POLLIN, 0};
-  ASSERT_EQ(::poll(&next, 1, 5000), 1) << "the call that gives it up";
+  ASSERT_EQ(::poll(&next, 1, 5000), 1) << "expected a cancel call";
   std::size_t arrived = 0;
-  std::string some(65536, '\0');
-  for (ssize_t got = 0; (got = ::recv(call, some.data(), some.size(), 0)) > 0;)
-    arrived += static_cast<std::size_t>(got);
+  std::string chunk(65536, '\0');
+  for (ssize_t received = 0; (received = ::recv(call, chunk.data(), chunk.size(), 0)) > 0;)
+    arrived += static_cast<std::size_t>(received);
   EXPECT_GT(arrived, 0U);
   EXPECT_LT(arrived, kLarge);
   ::close(call);
   ::close(engine);
 }
 
-TEST_F(Node, ANewConfigurationThatCrossesADrainAndASilentWatchIsFollowedInTime) {
-  Engine drains(true), serves(true);
-  auto draining = engine_at(drains.port());
-  draining.replace(draining.find("\"up\""), 4, "\"draining\"");
-  auto other = engine_at(serves.port());
+TEST_F(Node, ADrainOnANewSilentBusIsAppliedInTime) {
+  StandInEngine draining_engine(true), serving(true);
+  auto draining_entry = engine_at(draining_engine.port());
+  draining_entry.replace(draining_entry.find("\"up\""), 4, "\"draining\"");
+  auto other = engine_at(serving.port());
   other.replace(other.find("s-1"), 3, "s-2");
-  Bus old({{events(2, engine_at(drains.port()), false)}, {}});
-  Bus next({{}, {events(3, draining + "," + other, false)}, {}});  // the new one is silent at first
+  StandInBus old({{events(2, engine_at(draining_engine.port()), false)}, {}});
+  // The new bus does not answer the first request.
+  StandInBus next({{}, {events(3, draining_entry + "," + other, false)}, {}});
   start(old.port());
-  ASSERT_TRUE(becomes_ready());
-  ASSERT_TRUE(old.asked_again(2));
+  ASSERT_TRUE(wait_until_ready());
+  ASSERT_TRUE(old.wait_for_requests(2));
   write(config(next.port()));
   process_.signal(SIGHUP);
-  const auto told = std::chrono::steady_clock::now() + 4s;  // it counts as told then
-  ASSERT_TRUE(next.asked_again(1));
+  // By this time the router must have read the list.
+  const auto expected_update = std::chrono::steady_clock::now() + 4s;
+  ASSERT_TRUE(next.wait_for_requests(1));
   Client client(port_);
   std::string all;
   unsigned n = 0;
-  int late = 0;
-  while (std::chrono::steady_clock::now() < told + 1500ms) {
+  int calls_at_grace_end = 0;  // 1 + calls of the draining engine; 0: grace period not over
+  while (std::chrono::steady_clock::now() < expected_update + 1500ms) {
     client.send(request(++n, fmt::format("{:016x}", n), "900"));
-    if (std::chrono::steady_clock::now() > told + 500ms && late == 0) late = 1 + drains.calls("POST");
-    all += client.some(20ms);
-  }
-  EXPECT_EQ(drains.calls("POST"), late - 1) << "nothing is sent to it after the grace";
-  EXPECT_GT(serves.calls("POST"), 10);
-  EXPECT_GT(late, 10);
+    if (std::chrono::steady_clock::now() > expected_update + 500ms && calls_at_grace_end == 0)
+      calls_at_grace_end = 1 + draining_engine.call_count("POST");
+    all += client.receive(20ms);
+  }
+  EXPECT_EQ(draining_engine.call_count("POST"), calls_at_grace_end - 1)
+      << "expected no queries to the draining engine after the grace period";
+  EXPECT_GT(serving.call_count("POST"), 10);
+  EXPECT_GT(calls_at_grace_end, 10);
 }
 
-TEST_F(Node, KilledUnderLoadAndStartedWhileDiscoveryIsDownItServesAtOnce) {
-  Engine engine(true);
+TEST_F(Node, AfterAKillItServesAtOnceWithoutTheBus) {
+  StandInEngine engine(true);
   std::uint16_t nowhere = 0;
-  ::close(listening(nowhere));
-  const auto known = config(nowhere, engine_at(engine.port()));
-  start_with(known);
-  ASSERT_TRUE(becomes_ready());
+  ::close(listen_on_free_port(nowhere));
+  const auto config_json = config(nowhere, engine_at(engine.port()));
+  start_with(config_json);
+  ASSERT_TRUE(wait_until_ready());
   for (int round = 0; round < 3; ++round) {
     std::vector<Client> clients;
     for (unsigned i = 0; i < 8; ++i) clients.emplace_back(port_);
     for (unsigned n = 1; n <= 16; ++n)
       for (unsigned i = 0; i < 8; ++i)
         clients[i].send(request(n, fmt::format("{:06x}{:02x}{:08x}", round, i, n), "900"));
-    ASSERT_TRUE(engine.seen(fmt::format("GET /x/{:06x}", round), 1)) << "in the middle of it";
+    ASSERT_TRUE(engine.wait_for_calls(fmt::format("GET /x/{:06x}", round), 1))
+        << "expected queries to be running";
     process_.signal(SIGKILL);
     EXPECT_EQ(process_.wait(), 128 + SIGKILL);
     const auto began = std::chrono::steady_clock::now();
-    start_with(known);
-    if (round == 1) {  // killed early
+    start_with(config_json);
+    if (round == 1) {  // kill it during start-up too
       process_.signal(SIGKILL);
       process_.wait();
-      start_with(known);
+      start_with(config_json);
     }
-    ASSERT_TRUE(becomes_ready());
+    ASSERT_TRUE(wait_until_ready());
     EXPECT_LT(std::chrono::steady_clock::now() - began, 2s);
     Client client(port_);
     client.send(request(1, fmt::format("{:06x}ff{:08x}", round, 1), "900"));
-    EXPECT_EQ(answer(client), (std::map<std::uint32_t, int>{{1, 0}}));
+    EXPECT_EQ(first_answer(client), (std::map<std::uint32_t, int>{{1, 0}}));
   }
 }
 
-TEST_F(Node, ToldToEndWithNoDescriptorLeftItServesForAsLongAsRequestsCome) {
-  Bus bus({{events(2, kEngine, false)}, {}});
+TEST_F(Node, OnSigtermWithoutFreeDescriptorsItKeepsServing) {
+  StandInBus bus({{events(2, kEngine, false)}, {}});
   start(bus.port(), "ulimit -n 24; ");
-  ASSERT_TRUE(becomes_ready());
+  ASSERT_TRUE(wait_until_ready());
   std::vector<Client> idle;
   for (int i = 0; i < 40; ++i) idle.emplace_back(port_);
   std::this_thread::sleep_for(100ms);
   process_.signal(SIGTERM);
   const auto began = std::chrono::steady_clock::now();
   while (!process_.wait(Time(10ms)) && std::chrono::steady_clock::now() < began + 5s) continue;
-  EXPECT_GT(std::chrono::steady_clock::now() - began, 700ms) << "not when accepting fails";
+  EXPECT_GT(std::chrono::steady_clock::now() - began, 700ms)
+      << "expected the router not to stop because accept fails";
   EXPECT_LT(std::chrono::steady_clock::now() - began, 2500ms);
   EXPECT_EQ(process_.wait(), 0);
 }
--- a/tests/e2e/port_in_use.sh
+++ b/tests/e2e/port_in_use.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Starts a demo on a free port, and a second on the same; ends with the second's exit code.
+# Usage: port_in_use.sh PROGRAM. Starts a demo on a free port and a second demo on the same port; exits with the
+# exit code of the second.
 out=$(mktemp)
 "$1" demo --port 0 >"$out" 2>/dev/null &
 first=$!
--- a/tests/e2e/kept.sh
+++ b/tests/e2e/run_and_audit_day.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# kept.sh PROGRAM DAY: plays the day and audits it.
+# Usage: run_and_audit_day.sh PROGRAM DAY. Runs the day and audits its records.
 set -e
 out=$(mktemp -d)
 trap 'rm -rf "$out"' EXIT
--- a/tests/e2e/stall_test.cpp
+++ b/tests/e2e/stall_test.cpp
@@ -1,36 +1,37 @@
-// A router process that had no turn for a while: deadlines run from the moment a request may have come.
+// Tests of router processes: one that was stopped for a while, and the format of the log. After a stop the
+// router counts a request's deadline from the earliest time at which the request may have arrived.
 #include <csignal>
 #include <set>
 
 #include "rehearsal/process.hpp"
-#include "rig.hpp"
+#include "test_system.hpp"
 
 namespace heronwell::e2e {
 namespace {
 
-TEST(Routers, ThatWereStoppedAnswerWhatCameMeanwhileBeforeItsDeadline) {
+TEST(Routers, AStoppedRouterAnswersRequestsReceivedMeanwhileBeforeTheirDeadline) {
   rehearsal::Process demo({HERONWELL_PROGRAM, "demo", "--port", "0"}, "");
   const auto line = demo.line(10s);
   const auto port = static_cast<std::uint16_t>(std::stoul(line.substr(line.rfind(':') + 1)));
   Client first(port);
-  first.post(Rig::body("lookup", "a"));
-  ASSERT_EQ(first.answer().status, 200);
+  first.post(TestSystem::query_body("lookup", "a"));
+  ASSERT_EQ(first.read_response().status, 200);
   demo.signal(SIGSTOP);
   std::this_thread::sleep_for(100ms);
   const auto sent = std::chrono::steady_clock::now();
-  first.post(Rig::body("lookup", "b", "work_ms=20000"), "heronwell-timeout-ms: 2500\r\n");
+  first.post(TestSystem::query_body("lookup", "b", "work_ms=20000"), "heronwell-timeout-ms: 2500\r\n");
   std::this_thread::sleep_for(1500ms);
   demo.signal(SIGCONT);
-  const auto answer = first.answer();
-  const auto took = std::chrono::steady_clock::now() - sent;
-  EXPECT_TRUE(answer.status == 504 || answer.status == 503) << answer.status << answer.body;
-  EXPECT_LT(took, 2500ms);
-  EXPECT_GT(took, 1400ms);
-  first.post(Rig::body("lookup", "c"));  // and then all is as before
-  EXPECT_EQ(first.answer().status, 200);
+  const auto response = first.read_response();
+  const auto duration = std::chrono::steady_clock::now() - sent;
+  EXPECT_TRUE(response.status == 504 || response.status == 503) << response.status << response.body;
+  EXPECT_LT(duration, 2500ms);
+  EXPECT_GT(duration, 1400ms);
+  first.post(TestSystem::query_body("lookup", "c"));  // the connection still works afterwards
+  EXPECT_EQ(first.read_response().status, 200);
 }
 
-TEST(Logs, AreOneJsonObjectALineWhateverIsInThem) {
+TEST(Logs, EachLineIsOneJsonObjectEvenIfNamesContainQuotes) {
   const auto folder = std::filesystem::temp_directory_path() / fmt::format("heronwell-log-{}", ::getpid());
   std::filesystem::create_directories(folder);
   std::ofstream(folder / "list.yaml") << "engines: [{name: 'a\"b', port: 9, zone: 'no \"such\" zone', kind: "
@@ -46,9 +47,9 @@
     const auto line = router.line(10s);
     Client client(static_cast<std::uint16_t>(std::stoul(line.substr(line.rfind(':') + 1))));
     client.post(R"({"statement":"select 1","class":"a \"class\""})");
-    EXPECT_EQ(client.answer().status, 503);  // nobody listens on port 9
+    EXPECT_EQ(client.read_response().status, 503);  // nothing listens on port 9
     client.post("nonsense");
-    EXPECT_EQ(client.answer().status, 400);
+    EXPECT_EQ(client.read_response().status, 400);
     router.signal(SIGTERM);
     EXPECT_TRUE(router.wait(5s));
     EXPECT_EQ(router.wait(), 0);
