--- a/src/frames/frames.cpp
+++ b/src/frames/frames.cpp
@@ -158,7 +158,8 @@
   if (!timeout) return RequestError::timeout;
   out.timeout_ms = *timeout;
   out.idempotency_key = value_of("k");
-  // The key is sent to engines as a header field value, which a line feed or a space would corrupt.
+  // The router sends the idempotency key to engines as the value of a header field, which a line feed or a
+  // space would corrupt. Only visible ASCII characters are accepted.
   if (!std::ranges::all_of(out.idempotency_key, [](char c) { return c > ' ' && c < '\x7f'; }))
     return RequestError::idempotency_key;
   if (frame.body.empty()) return RequestError::empty_statement;
--- a/src/http/message.hpp
+++ b/src/http/message.hpp
@@ -49,7 +49,8 @@
     std::string_view body;
   };
 
-  // Reads up to the next event. `in` must begin with the first byte that is not yet consumed.
+  // Reads `in` up to the next event and returns it; need_more if `in` ends before one is complete. `in` must
+  // begin with the first byte that earlier calls have not consumed.
   Step next(std::string_view in);
   // Tells the parser that the peer closed the connection. Completes a response whose body is delimited by the
   // close. Any other incomplete message is an error; between messages it returns need_more.
--- a/src/sql/session.hpp
+++ b/src/sql/session.hpp
@@ -2,11 +2,12 @@
 //
 //   starting --ReadyForQuery--> idle --query()--> busy --ReadyForQuery--> idle
 //   any --cancel_sent()--> the same state, but the session is marked as not reusable
-//   any --malformed message, FATAL error or give_up()--> over
+//   starting --error response--> over
+//   any --malformed or unexpected message, FATAL or PANIC error, or give_up()--> over
 //
-// A cancel request identifies the connection and not the statement, so that one that arrives late would
-// cancel the next client's statement on the same connection. To prevent this, a marked session is never
-// reusable again.
+// A cancel request identifies the connection and not the statement. One that arrives late would therefore
+// cancel the next client's statement on the same connection. To prevent this, a marked session never becomes
+// reusable again. A session is also marked if a statement leaves a transaction open.
 #pragma once
 
 #include <cstdint>
@@ -56,8 +57,8 @@
   void give_up() { state_ = SessionState::over; }
 
   // Reads complete messages from `in` and reports them to `events`. Returns the number of bytes consumed.
-  // state() is `over` after malformed input. Stops early if a call to `events` sets `pause`; the caller then
-  // passes the bytes that were not consumed again.
+  // state() is `over` after a malformed or unexpected message. Stops early if a call to `events` sets
+  // `pause`; the caller then passes the bytes that were not consumed again.
   std::size_t feed(std::string_view in, SessionEvents& events, const bool& pause);
   // The size in bytes of the next, incomplete message; 0 if not known.
   [[nodiscard]] std::size_t next_message_bytes() const { return next_message_bytes_; }
--- a/tests/protocol/http_test.cpp
+++ b/tests/protocol/http_test.cpp
@@ -6,7 +6,9 @@
 namespace heronwell::http {
 namespace {
 
-// Feeds `bytes` to a parser, split at `split` (0: byte by byte), and returns everything it reports as text.
+// Feeds `bytes` to a parser, split at `split` (0: byte by byte), and returns everything it reports as text. A
+// request without errors becomes "head METHOD TARGET 0;", "NAME=VALUE;" for each header field and "body BODY
+// keep KEEP_ALIVE;". A response has its status in the place of the 0.
 std::string transcript(std::string_view bytes, std::size_t split, Role role = Role::request,
                        Limits limits = {}) {
   Parser parser(role, limits);
--- a/tests/protocol/platform_test.cpp
+++ b/tests/protocol/platform_test.cpp
@@ -134,7 +134,7 @@
   EXPECT_FALSE(status_of("202 Accepted\r\nX-Tell: gossip\r\nX-Amount: 1\r\n", "").progress);
 }
 
-TEST(Calls, EachObservationMapsToItsAttemptResult) {
+TEST(Calls, EachCallResultMapsToItsAttemptResult) {
   struct Row {
     const char* head;
     AttemptResult result;
--- a/tests/protocol/sql_test.cpp
+++ b/tests/protocol/sql_test.cpp
@@ -77,7 +77,7 @@
   bool client_gets_error;
 };
 class ResultTable : public testing::TestWithParam<Row> {};
-TEST_P(ResultTable, ClassifiesTheObservation) {
+TEST_P(ResultTable, EachStatementResultMapsToItsAttemptResult) {
   const auto& row = GetParam();
   const auto classification = classify(row.observed, row.code, {"53301"}, row.cancel_sent);
   EXPECT_EQ(classification.result, row.result);
