--- a/src/groups/fair_shares.cpp
+++ b/src/groups/fair_shares.cpp
@@ -75,7 +75,9 @@
     const double weight = node.settings.weight;
     auto& virtual_time = node.share.virtual_time;
     add_use(node, amount, used_by);
-    // Growth of the siblings' virtual time per second. A group without requests is treated as if it had some.
+    // Growth of the siblings' virtual time per second. The siblings with requests may weigh less than the
+    // group itself, because a group without requests here is charged for its use on other routers; then its
+    // own weight is the divisor.
     const double rate = share / std::max(parent_node->share.active_weight, weight);
     virtual_time += amount / weight;
     if (parent_node->settings.policy == Policy::fair) {
--- a/src/groups/group_directory.hpp
+++ b/src/groups/group_directory.hpp
@@ -33,7 +33,8 @@
 
   // Replaces all nodes with new ones for the groups of the tree.
   void build(const Tree& tree);
-  // Sets the current paths of the leaves before the last reload, by their old path.
+  // Sets, for each leaf that existed before the last reload, its present path; the key is its old path. The
+  // present path of a removed leaf is kRemovedGroup.
   void set_former_leaves(std::map<std::string, std::string, std::less<>> leaves) {
     former_leaves_ = std::move(leaves);
   }
--- a/src/groups/group_dispatch.cpp
+++ b/src/groups/group_dispatch.cpp
@@ -17,7 +17,8 @@
 // exceeds 1 because the decision engine may need some of the threads for a class of higher rank.
 constexpr std::uint64_t kUnusedOffers = 4;
 
-// Time after that in which the group may still start a query: one tick of the decision engine.
+// A group that has had enough offers may still start a query for this time before it is skipped: one tick of
+// the decision engine.
 constexpr Time kOfferGrace = 20ms;
 
 // Number of children of one group that can have a hold started at once, in sibling order, and the interval of
--- a/src/groups/group_limits.hpp
+++ b/src/groups/group_limits.hpp
@@ -44,7 +44,8 @@
     nodes_[group].usage.rejected = before.usage.rejected;
   }
 
-  // Whether another query of the class would exceed the group's ceiling.
+  // Whether another query of the class would exceed this router's part of the group's ceiling of threads, or
+  // the router's part of its ceiling of memory is used up. False while nothing runs in the group.
   [[nodiscard]] bool at_ceiling(GroupNumber group, ClassIndex cls) const;
   // Whether the leaf and all groups above it have memory left for the query.
   [[nodiscard]] bool memory_fits(GroupNumber leaf, double memory_mb) const;
--- a/src/groups/group_node.hpp
+++ b/src/groups/group_node.hpp
@@ -1,5 +1,7 @@
 // GroupNode holds the state of one group: its settings, its place in the tree, and one section for each class
 // that makes decisions about groups. Only the class named above a section writes to it; all may read it.
+// There are two exceptions: schedules change the settings, and GroupDirectory also updates other sections
+// when it creates or removes a group.
 #pragma once
 
 #include <compare>
@@ -29,8 +31,8 @@
 };
 
 struct GroupNode {
-  // ---- GroupDirectory ------------------------------------------------------------------------------------
-  Group settings;          // including changes by schedules
+  // ---- written by GroupDirectory -------------------------------------------------------------------------
+  Group settings;          // including changes by schedules, which Shares and FairShares write
   bool on_demand = false;  // created from a template, or for requests of removed groups
   bool live = true;        // false: removed, the number can be reused
   GroupNumber parent = kRootGroup;
@@ -38,7 +40,7 @@
   std::size_t position = 0;  // among its parent's children
   Time created_at{};
 
-  // ---- FairShares ----------------------------------------------------------------------------------------
+  // ---- written by FairShares -----------------------------------------------------------------------------
   struct Share {
     double virtual_time = 0;    // thread-seconds used per weight; bounded relative to the floor
     double floor = 0;           // smallest virtual time of the waiting children; never decreases
@@ -52,7 +54,7 @@
     Time idle_since{};          // since when the group has no queued request
   } share;
 
-  // ---- SiblingOrder --------------------------------------------------------------------------------------
+  // ---- written by SiblingOrder ---------------------------------------------------------------------------
   struct Queue {
     SiblingKey key;          // its place in the order of its siblings
     std::size_t queued = 0;  // requests, in this group and below
@@ -62,7 +64,7 @@
     std::vector<std::set<std::pair<std::uint64_t, RequestId>>> requests;
   } queue;
 
-  // ---- GroupDispatch -------------------------------------------------------------------------------------
+  // ---- written by GroupDispatch --------------------------------------------------------------------------
   struct Hold {
     Time since{};                    // since when it holds siblings back; zero: it does not
     Time skip_until{};               // the group is skipped until then
@@ -72,14 +74,14 @@
   } hold;
   Time holds_started_at{};  // when holds of its children were last started
 
-  // ---- GroupLimits ---------------------------------------------------------------------------------------
+  // ---- written by GroupLimits ----------------------------------------------------------------------------
   struct Usage {
     unsigned running = 0;  // threads
     double memory_mb = 0;  // by estimates
     std::map<Limit, std::uint64_t> rejected;
   } usage;
 
-  // ---- ShareGossip ---------------------------------------------------------------------------------------
+  // ---- written by ShareGossip ----------------------------------------------------------------------------
   std::uint64_t last_gossip_message = 0;  // number of the message that last carried its sum
 
   [[nodiscard]] bool leaf() const { return children.empty(); }
--- a/src/groups/share_gossip.hpp
+++ b/src/groups/share_gossip.hpp
@@ -6,9 +6,9 @@
 // sum of the same sender. The first sum of a sender, or of a restarted sender, charges nothing.
 //
 // The input is thread-seconds by group and messages of at most kMaxMessageBytes; the output is messages and
-// the thread-seconds used elsewhere by group. The format on the wire: kFirstByte, 8 bytes that identify the
-// start of the sums, then for each group 6 bytes of the hash of its path and 6 bytes of its sum in
-// thread-milliseconds.
+// the thread-seconds used elsewhere by group. The format on the wire: kFirstByte, 8 bytes with the time at
+// which the sender started its sums (they differ after a restart), then for each group 6 bytes of the hash of
+// its path and 6 bytes of its sum in thread-milliseconds.
 //
 // Datagrams can be lost, duplicated or delayed. With differences in the messages, a group would remain
 // undercharged or overcharged on that router forever; with sums, the next message corrects the error.
@@ -35,7 +35,8 @@
 
   ShareGossip(const ShareContext& context, GroupNodes& nodes) : context_(context), nodes_(nodes) {}
 
-  // Sets the identifier of this router's sums to the time of the first call. Later calls have no effect.
+  // Sets the identifier that each message of this router carries, so that the receivers notice a restart of
+  // its sums. The identifier is the time of the first call; later calls have no effect.
   void start_sums(Time now);
   void add_group(GroupNumber group);
   void remove_group(GroupNumber group);
--- a/src/groups/shares_consistency.cpp
+++ b/src/groups/shares_consistency.cpp
@@ -49,7 +49,7 @@
 std::string Shares::check_sums(GroupNumber group, const Sums& sums) const {
   const auto& node = nodes_[group];
   if (node.queue.queued != sums.queued[group]) return "wrong number of queued requests";
-  if (node.share.requests != sums.requests[group]) return "wrong number of requests";
+  if (node.share.requests != sums.requests[group]) return "wrong number of requests queued or in flight";
   if (node.usage.running != sums.running[group]) return "wrong number of running threads";
   double weight = 0;
   for (const auto child : node.children)
--- a/tests/groups/shares_test.cpp
+++ b/tests/groups/shares_test.cpp
@@ -419,8 +419,9 @@
   std::set<RequestId> queued_;
 };
 
-// After each random event the sums must agree, and at the end all queued requests must be served. No group
-// stays above its slack, so a free thread must find any waiting request.
+// After each random event every stored sum must agree with the values that it adds up. At the end all queued
+// requests must be served: no group stays ahead of its siblings by more than the slack, so every waiting
+// request must be offered at some time while threads are free.
 TEST(Shares, KeepSumsConsistentAndServeAllRequestsUnderRandomEvents) {
   for (std::uint32_t seed = 1; seed <= 40; ++seed) {
     RandomEvents events(seed);
@@ -435,7 +436,7 @@
   }
 }
 
-TEST(Shares, KeepRequestsAndDebtsOverAReload) {
+TEST(Shares, KeepRequestsOverAReloadAndMatchTheNewWeights) {
   GroupsSimulation simulation("{a: {weight: 1}, b: {weight: 1}}", 8);
   simulation.sources = {{"a", 0, 50ms, 20}, {"b", 0, 50ms, 20}};
   simulation.run(5s);
