--- a/src/rehearsal/audit.cpp
+++ b/src/rehearsal/audit.cpp
@@ -236,7 +236,7 @@
     const auto gateway = text(j, "gw");
     auto& reported = reported_states_[gateway];
     auto at = time(j);
-    // A stopped router reads the answer once it is continued.
+    // A stopped router reads the answer of the endpoint list once it is continued.
     for (const auto& span : stopped_gateways_[gateway])
       if (span.overlaps(at, at)) at = span.to;
     std::set<std::string> named;
@@ -254,7 +254,7 @@
     const auto at = time(j);
     if (event == "listening") engine_starts_warm_ = j.at("warm").get<bool>();
     if (event == "tipped") {
-      add_violation(4, "", "", engine_, at, "a cold engine was pushed over");
+      add_violation(4, "", "", engine_, at, "a cold engine got too much work and crashed");
       return;
     }
     if (!j.contains("id")) return;
@@ -390,7 +390,8 @@
                         "repeated outside its group");
         if (set->idempotency == Idempotency::idempotency_key && !before.rejected &&
             tries[i].read - before.read > set->deduplication_window.count() + tolerance_)
-          add_violation(2, id, tries[i].gateway, tries[i].engine, tries[i].read, "repeated after its window");
+          add_violation(2, id, tries[i].gateway, tries[i].engine, tries[i].read,
+                        "repeated after its deduplication window");
         if (!day_.settings.hedging_enabled && before.end > tries[i].read + tolerance_ &&
             !engine_was_stopped(before.engine, before.read, tries[i].read) &&
             !engine_was_stopped(tries[i].engine, tries[i].read - tolerance_, tries[i].read))
@@ -467,7 +468,7 @@
             day_.settings.slow_start_overload_ratio * day_.traits.cores * sends[i].warmth * window;
         audit_.highest_cold_load_ratio = std::max(audit_.highest_cold_load_ratio, sum / capacity);
         if (sum > capacity + sends[i].work)
-          add_violation(4, "", "", engine, sends[i].at, "more than tips a cold engine over");
+          add_violation(4, "", "", engine, sends[i].at, "more work than makes a cold engine crash");
       }
     }
   }
@@ -499,11 +500,11 @@
             if (finished > ran[0].read + 2 * tolerance_ && a.read < ran[0].read &&
                 !engine_was_stopped(a.engine, a.read, ran[0].read))
               add_violation(5, later.second, key.first, ran[0].engine, ran[0].read,
-                            "out while the earlier " + earlier.second + " was");
+                            "sent while the earlier " + earlier.second + " was unfinished");
             if (a.read > ran[0].read + tolerance_ &&
                 !engine_was_stopped(a.engine, a.read - 10 * tolerance_, a.read))
               add_violation(5, later.second, key.first, ran[0].engine, ran[0].read,
-                            "out before the earlier " + earlier.second);
+                            "sent ahead of the earlier " + earlier.second);
           }
         }
     }
@@ -615,7 +616,7 @@
   std::map<std::string, std::vector<Span>> stopped_gateways_, killed_gateways_, stopped_engines_;
   std::map<std::string, RequestRecord> requests_;
   std::map<std::string, std::vector<Attempt>> attempts_;
-  // By router and engine.
+  // The engine states that the endpoint list reported, by router and engine.
   std::map<std::string, std::map<std::string, std::vector<ReportedState>>> reported_states_;
   std::map<std::string, std::pair<std::string, std::string>> locations_;  // zone and kind
   std::map<std::string, std::vector<ColdArrival>> cold_arrivals_;
--- a/src/rehearsal/fault_schedule.hpp
+++ b/src/rehearsal/fault_schedule.hpp
@@ -15,7 +15,7 @@
  public:
   virtual ~FaultTargets() = default;
   virtual void record_fault(FaultKind kind) = 0;  // a fault begins
-  // Sends an engine a line as Engine::command() reads it.
+  // Sends an engine one command line, in the format that Engine::command() reads.
   virtual void command_engine(unsigned engine, const std::string& line) = 0;
   virtual void kill_engine(unsigned engine) = 0;
   virtual void start_engine(unsigned engine) = 0;  // restarts it, cold
--- a/tests/rehearsal/audit_test.cpp
+++ b/tests/rehearsal/audit_test.cpp
@@ -311,7 +311,7 @@
   engine_event(4, 0, "dropped", "a");
   engine_ran(1500, 1520, 1, "a");
   client_answered(1530, "a");
-  expect_violation(2, "after its window");
+  expect_violation(2, "after its deduplication window");
 }
 TEST_F(AuditTest, Rule2FindsTwoConcurrentAttempts) {
   client_sent(0, "a", "lookup");
@@ -340,7 +340,7 @@
     engine_event(30, 0, "sent", id);
     client_answered(31, id);
   }
-  expect_violation(4, "more than tips");
+  expect_violation(4, "more work than makes a cold engine crash");
 }
 TEST_F(AuditTest, Rule5FindsAStatementSentBeforeTheEarlierOneEnded) {
   client_sent(0, "a", "turn", 5);
@@ -351,7 +351,7 @@
   client_answered(131, "b");
   engine_event(600, 0, "sent", "a");
   client_answered(601, "a");
-  expect_violation(5, "out while the earlier a was");
+  expect_violation(5, "sent while the earlier a was unfinished");
 }
 TEST_F(AuditTest, Rule6FindsAStatementOutsideItsZones) {
   client_sent(0, "a", "near");
