--- a/src/cli/stand_in_process.hpp
+++ b/src/cli/stand_in_process.hpp
@@ -14,7 +14,8 @@
 // Stops `context` on SIGINT or SIGTERM and reads commands. `context` must outlive the object.
 class StandInProcess {
  public:
-  // `on_command` receives each line without its line end. The process keeps running at the end of the input.
+  // `on_command` receives each line of standard input without its line end. The process keeps running when
+  // the input ends.
   StandInProcess(boost::asio::io_context& context, std::function<void(const std::string&)> on_command);
   // Starts reading commands and waiting for signals.
   void start();
--- a/tests/e2e/clients_test.cpp
+++ b/tests/e2e/clients_test.cpp
@@ -1,4 +1,5 @@
-// Tests of clients that disconnect, read slowly, send slowly or send too much.
+// Tests of clients that disconnect, read slowly, pipeline requests, send slowly or send too much, and of
+// responses that break.
 #include <sys/resource.h>
 
 #include "test_system.hpp"
@@ -207,7 +208,7 @@
   ::getrlimit(RLIMIT_NOFILE, &limit);
   limit.rlim_cur = limit.rlim_max;
   ::setrlimit(RLIMIT_NOFILE, &limit);
-  // This process has both ends of each connection.
+  // Both ends of each connection are in this process, so each connection takes two file descriptors.
   const auto count = std::min<std::size_t>(10'000, (limit.rlim_cur - 200) / 2);
   TestSystem system({.engines = 1});
   std::vector<Client> clients;
--- a/tests/e2e/extras_test.cpp
+++ b/tests/e2e/extras_test.cpp
@@ -103,7 +103,7 @@
   EXPECT_EQ(system.metric("heronwell_engine_settings_refused_total"), 1);
 }
 
-TEST(StandIn, RejectsEncryptionAndCancelRequestsWithAWrongKey) {
+TEST(StandIn, DeclinesEncryptionAndIgnoresACancelRequestWithAWrongKey) {
   TestSystem system({.engines = 1});
   for (const std::uint32_t code : {80877103U, 80877104U}) {  // SSL, GSS
     Client client(system.entries()[0].port);
--- a/tests/e2e/platform_test.cpp
+++ b/tests/e2e/platform_test.cpp
@@ -566,8 +566,8 @@
   ~ManualEngine() {
     for (const auto& [socket, call] : calls_) ::close(socket);
   }
-  // Accepts the next connection and returns the first bytes of its call. Empty if none arrives within
-  // `timeout`.
+  // Accepts the next connection and returns the first bytes of its call. Empty if no connection arrives
+  // within `timeout` or its first bytes do not arrive within another 2 s.
   std::string next_call(std::chrono::milliseconds timeout) {
     pollfd poll_entry{engine_, POLLIN, 0};
     if (::poll(&poll_entry, 1, static_cast<int>(timeout.count())) <= 0) return "";
@@ -660,7 +660,7 @@
     }
   }
   EXPECT_GE(open.size(), 5U)
-      << "expected connections of the queue filler and of the three disconnected clients";
+      << "expected the connection that filled the accept queue and those of the three disconnected clients";
   ASSERT_TRUE(began.starts_with("POST /x ")) << began;
   EXPECT_NE(began.find(fmt::format("{:016x}", 9)), std::string::npos) << began;
   EXPECT_EQ(began.find("POST", 1), std::string::npos) << began;
@@ -713,7 +713,7 @@
   ASSERT_TRUE(old.wait_for_requests(2));
   write(config(next.port()));
   process_.signal(SIGHUP);
-  // By this time the router must have read the list.
+  // By this time the router must have read the list of hosts from the new bus.
   const auto expected_update = std::chrono::steady_clock::now() + 4s;
   ASSERT_TRUE(next.wait_for_requests(1));
   Client client(port_);
--- a/tests/e2e/test_system.hpp
+++ b/tests/e2e/test_system.hpp
@@ -138,8 +138,8 @@
     unsigned router_count = 1;
     std::string classes;          // additional YAML within classes
     std::string engine_settings;  // YAML, within engines: {...}
-    // If set, `router_count` routers run in this process, and the function returns the additional YAML of
-    // each. Otherwise one router runs, configured as one of `router_count`.
+    // If set, `router_count` routers run in this process, and the function returns the additional YAML of the
+    // router with the given number. Otherwise one router runs, configured as one of `router_count`.
     std::function<std::string(unsigned)> settings_for_router;
   };
   // Starts everything and waits until the routers serve.
