--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -105,8 +105,8 @@
 
   std::optional<groups::Plan> groups;  // resource groups; none: requests are not grouped
 
-  // Settings of the operators' platform, on which clients send frames, engines are used by query calls, and
-  // an event bus replaces `endpoint_list`.
+  // Settings of the operators' platform. There, clients send binary frames (frames/frames.hpp), the router
+  // sends HTTP calls to engines (calls/calls.hpp), and an event bus replaces `endpoint_list`.
   struct Platform {
     std::string file;            // path of the configuration, which is read again on SIGHUP
     std::string initial_events;  // `known`: the event bus's events up to the start, JSON
--- a/src/config/config_reader.cpp
+++ b/src/config/config_reader.cpp
@@ -99,7 +99,8 @@
   engines.user = section.string("user", "heronwell");
   engines.database = section.string("database", "heronwell");
   engines.connections = section.count("connections", 64, 1, kMaxEngineConnections);
-  // Connecting within one site takes a millisecond; after this time, an attempt at another engine is better.
+  // Connecting to an engine at the same site takes a millisecond. If it takes longer than this limit,
+  // trying another engine is more promising.
   engines.dial_timeout = read_duration(section, "dial_timeout", 250ms);
   engines.idle_close = read_duration(section, "idle_close", 30s);
   // A cancelled statement usually ends at once; after this time its connection is closed instead of reused.
@@ -184,7 +185,8 @@
 }
 
 void read_trace(yaml::Section section, trace::Options& trace) {
-  // A small sample shows usual requests; `keep_trouble` writes requests with problems independently of it.
+  // A small sample is enough to show what usual requests look like. With `keep_trouble`, requests that are
+  // rejected, failed, late or retried are written even if they are not in the sample.
   constexpr double kDefaultSample = 0.01;
   trace.file = section.string("file", "");
   trace.sample = section.number("sample", kDefaultSample, 0, 1);
--- a/src/daemon/gossip_socket.cpp
+++ b/src/daemon/gossip_socket.cpp
@@ -66,7 +66,8 @@
   receiver_({opened.from, std::string(opened.payload)});
 }
 
-// A datagram of this router itself is counted as a replay, because another host has reflected it.
+// A datagram that this router itself has sent is counted as a replay, because another host has
+// sent it back.
 void GossipSocket::count(DatagramFault fault) {
   switch (fault) {
     case DatagramFault::none:
