--- a/tests/decision/load_estimator_test.cpp
+++ b/tests/decision/load_estimator_test.cpp
@@ -68,14 +68,15 @@
     sent_to_least_loaded += with_consistent_reports.started.back().engine == 20 ? 1 : 0;
     sent_to_full += with_dispersed_reports.started.back().engine % 2 == 1 ? 1 : 0;
   }
-  EXPECT_GT(sent_to_least_loaded, 90) << "expected consistent reports to show the engine with the least load";
+  EXPECT_GT(sent_to_least_loaded, 90)
+      << "expected most queries on the least loaded engine if reports are consistent";
   EXPECT_GE(sent_to_full, 5) << "expected some queries on engines that dispersed reports show as full";
   EXPECT_LT(sent_to_full, 50);
 }
 
 // Reports are seconds old while the load of all engines rises. This router's own load rises at once. If
-// reports are dispersed, the level is therefore estimated higher by the same ratio, and fewer queries
-// are sent.
+// reports are dispersed, the level is therefore estimated higher, in proportion to how far this router's
+// own threads exceed their recent average, and fewer queries are sent.
 TEST(OldReports, RaiseTheLevelByOwnThreadsAboveTheirAverageWhenDispersed) {
   for (const bool dispersed : {false, true}) {
     DecisionDriver driver = driver_with_reports(dispersed, 28, 10);
--- a/tests/decision/outlier_detector_test.cpp
+++ b/tests/decision/outlier_detector_test.cpp
@@ -204,7 +204,7 @@
   driver.finish(2, 0, 7, AttemptResult::rejected);
   EXPECT_EQ(driver.cancelled, (std::vector<std::pair<RequestId, AttemptIndex>>{{1, 0}}));
   EXPECT_DOUBLE_EQ(driver.decision_engine.pool_threads(), 8)
-      << "expected only the threads of the other engine";
+      << "expected the pool to hold only the threads of the other engine";
 }
 
 // An engine whose queries wait in its own queue and send progress all the time must not be ejected as silent.
